--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -78,7 +78,7 @@
     for member in members:
         await member.start()
     for member in members:
-        member.take_exchange(members[0].exchange())
+        member.apply_exchange(members[0].exchange())
     await asyncio.sleep(SETTLE_S)
     sent = [(m.sent_messages, m.sent_bytes) for m in members]
     began, began_cpu = time.monotonic(), cpu_s()
--- a/packages/coordination/src/eelgrass_coordination/__init__.py
+++ b/packages/coordination/src/eelgrass_coordination/__init__.py
@@ -4,16 +4,9 @@
 or kept goes through a transactional table service (:class:`Table`).
 """
 
-from .awake_time import (
-    AwakeTimeout,
-    awake_sleep,
-    awake_time,
-    awake_wait,
-    deadline_timeout,
-)
-from .bounded_call import bounded_call, sending_s
+from .bounded_call import bounded_call, send_allowance_s
 from .change_log import ChangeLog, ChangeOutcome, ChangeResult
-from .claims import Claim, Claims, ClaimState, Held
+from .claims import Acquisition, Claim, Claims, ClaimState
 from .configuration import Action, Change, ChangeItem, Entry, Problem, Snapshot
 from .follower import Follower
 from .group_commit import GroupCommit
@@ -22,8 +15,15 @@
 from .limits import MovingAverage, RetryBudget, share_of_limit
 from .members import Member, MemberState
 from .membership import Membership
-from .messages import Exchange, Mark
+from .messages import Exchange, GossipItem
 from .rendezvous import ranked
+from .running_time import (
+    StallAwareTimeout,
+    deadline_timeout,
+    running_time,
+    stall_aware_sleep,
+    stall_aware_wait,
+)
 from .snapshots import ObjectStore, SnapshotStore
 from .table import (
     Condition,
@@ -37,7 +37,7 @@
 
 __all__ = [
     "Action",
-    "AwakeTimeout",
+    "StallAwareTimeout",
     "Change",
     "ChangeItem",
     "ChangeLog",
@@ -51,10 +51,10 @@
     "Exchange",
     "Follower",
     "GroupCommit",
-    "Held",
+    "Acquisition",
     "HttpObjects",
     "HttpTable",
-    "Mark",
+    "GossipItem",
     "Member",
     "MemberState",
     "Membership",
@@ -70,12 +70,12 @@
     "Transaction",
     "TransactionResult",
     "Write",
-    "awake_sleep",
-    "awake_time",
-    "awake_wait",
+    "stall_aware_sleep",
+    "running_time",
+    "stall_aware_wait",
     "bounded_call",
     "deadline_timeout",
     "ranked",
-    "sending_s",
+    "send_allowance_s",
     "share_of_limit",
 ]
--- a/packages/coordination/src/eelgrass_coordination/comparison.py
+++ b/packages/coordination/src/eelgrass_coordination/anti_entropy.py
@@ -18,7 +18,7 @@
 from .members import Member
 from .messages import Message, MessageKind
 
-__all__ = ["Comparison", "Fingerprints"]
+__all__ = ["AntiEntropy", "Fingerprints"]
 
 # Bytes of one fingerprint: two of 400 records are taken for one another once in
 # 50,000 comparisons, and the next change of either sets it right.
@@ -77,7 +77,7 @@
         return {int.from_bytes(data[start : start + SIZE]) for start in starts}
 
 
-class Comparison:
+class AntiEntropy:
     """Compares this node's records with those of others.
 
     ``live`` returns the records of all live members, this node's own among them, and
--- a/packages/coordination/src/eelgrass_coordination/bounded_call.py
+++ b/packages/coordination/src/eelgrass_coordination/bounded_call.py
@@ -6,22 +6,22 @@
 
 import aiohttp
 
-from .awake_time import AwakeTimeout, awake_time
+from .running_time import StallAwareTimeout, running_time
 
-__all__ = ["BoundedAnswer", "bounded_call", "sending_s"]
+__all__ = ["BoundedResponse", "bounded_call", "send_allowance_s"]
 
 # An answer that has begun may pause for so long: a lost packet comes again in half of
 # it. One that stops, with its sender frozen or cut off, is given up then.
 SILENCE_S = 0.4
 # An answer that comes more slowly is given up, too: others may have it sooner. It is
 # what each of a hundred answers gets that share a link of 5 Mbit/s.
-SLOWEST_BYTES_PER_S = 6_000
+MIN_RECEIVE_BYTES_PER_S = 6_000
 # A body goes out at least this fast while its receiver is well: the narrowest links
 # that are planned for carry twice as much, and share it with other calls.
-SENT_BYTES_PER_S = 300_000
+MIN_SEND_BYTES_PER_S = 300_000
 
 
-def sending_s(size: int) -> float:
+def send_allowance_s(size: int) -> float:
     """Return how long a body of ``size`` bytes may take to go out, in seconds.
 
     A wait for an answer is longer by this. Otherwise a body that grows with the
@@ -30,10 +30,10 @@
     Sizes are gone by, and not how much has been written, since the operating system
     takes megabytes of a body before it sends the first of them.
     """
-    return size / SENT_BYTES_PER_S
+    return size / MIN_SEND_BYTES_PER_S
 
 
-class BoundedAnswer:
+class BoundedResponse:
     """The answer to a call.
 
     Once it has begun, a time of its own takes the place of ``bound``, which every part
@@ -42,10 +42,12 @@
     away half read, and asked for again for ever.
     """
 
-    def __init__(self, response: aiohttp.ClientResponse, bound: AwakeTimeout) -> None:
+    def __init__(
+        self, response: aiohttp.ClientResponse, bound: StallAwareTimeout
+    ) -> None:
         self._response = response
         self._bound = bound
-        self._began_at = awake_time()
+        self._began_at = running_time()
         self._put_off()
 
     @property
@@ -72,8 +74,8 @@
 
     def _put_off(self) -> None:
         """Let the call go on until it has been silent, or slow, for too long."""
-        slow_at = self._began_at + SILENCE_S + self.received / SLOWEST_BYTES_PER_S
-        self._bound.restart(min(SILENCE_S, slow_at - awake_time()))
+        slow_at = self._began_at + SILENCE_S + self.received / MIN_RECEIVE_BYTES_PER_S
+        self._bound.restart(min(SILENCE_S, slow_at - running_time()))
 
 
 @asynccontextmanager
@@ -85,7 +87,7 @@
     connect_s: float | None = None,
     data: bytes | None = None,
     **options: Any,
-) -> AsyncIterator[BoundedAnswer]:
+) -> AsyncIterator[BoundedResponse]:
     """Make a call with the body ``data`` and give its answer, for ``async with``.
 
     The answer must begin ``within_s`` after the body has had time to go out, and the
@@ -104,9 +106,9 @@
             body = await answer.read()
     """
     timeout = aiohttp.ClientTimeout(total=None, sock_connect=connect_s or within_s)
-    begins_s = within_s + sending_s(len(data or b""))
-    answer: BoundedAnswer | None = None
-    bound = AwakeTimeout(begins_s)
+    begins_s = within_s + send_allowance_s(len(data or b""))
+    answer: BoundedResponse | None = None
+    bound = StallAwareTimeout(begins_s)
     try:
         async with (
             bound,
@@ -119,7 +121,7 @@
                 **options,
             ) as response,
         ):
-            answer = BoundedAnswer(response, bound)
+            answer = BoundedResponse(response, bound)
             yield answer
     except TimeoutError as error:
         if not bound.expired():
@@ -129,7 +131,7 @@
         raise TimeoutError(_reason(answer, begins_s)) from error
 
 
-def _reason(answer: BoundedAnswer | None, begins_s: float) -> str:
+def _reason(answer: BoundedResponse | None, begins_s: float) -> str:
     """Return why a call was given up: a silent node differs from a slow link."""
     if answer is None:
         return f"no answer within {begins_s:.3g} s"
--- a/packages/coordination/src/eelgrass_coordination/claims.py
+++ b/packages/coordination/src/eelgrass_coordination/claims.py
@@ -31,7 +31,7 @@
 from .ids import AccountName, ClaimId, Incarnation, NodeId
 from .table import Condition, Row, RowKey, Table, TransactionResult, Write
 
-__all__ = ["Claim", "ClaimState", "Claims", "Held", "claim_row_key"]
+__all__ = ["Claim", "ClaimState", "Claims", "Acquisition", "claim_row_key"]
 
 CLAIMS = "claims"
 OPEN_CLAIMS = "open_claims"
@@ -72,7 +72,7 @@
     note: str = ""
 
 
-class Held(msgspec.Struct, frozen=True):
+class Acquisition(msgspec.Struct, frozen=True):
     """The result of an acquisition: the row's claim, and whether it is ours."""
 
     acquired: bool
@@ -104,7 +104,7 @@
         """The group commit below, for its counters."""
         return self._group
 
-    async def acquire(self, claim: Claim, within: float) -> Held:
+    async def acquire(self, claim: Claim, within: float) -> Acquisition:
         """Insert ``claim`` if there is none, within that many seconds.
 
         Raises :class:`ClaimUnsettled` where the table service does not settle
@@ -121,32 +121,32 @@
             self._in_background(self._close_abandoned(claim, tried[0]))
             raise
 
-    async def _acquire(self, claim: Claim, tried: list[int]) -> Held:
+    async def _acquire(self, claim: Claim, tried: list[int]) -> Acquisition:
         while True:
             expected = tried[0]
             result = await self._commit_until_answered(claim, expected)
             if result.committed:
-                return Held(acquired=True, claim=claim, version=expected + 1)
+                return Acquisition(acquired=True, claim=claim, version=expected + 1)
             row = await self._read_until_answered(claim)
             found = _claim_of(row)
             if found is None:
                 tried[0] = 0
             elif found.claim_id == claim.claim_id:
-                return Held(acquired=True, claim=claim, version=row.version)
+                return Acquisition(acquired=True, claim=claim, version=row.version)
             elif found.state is ClaimState.RELEASED:
                 tried[0] = row.version
             else:
-                return Held(acquired=False, claim=found, version=row.version)
+                return Acquisition(acquired=False, claim=found, version=row.version)
 
-    async def complete(self, held: Held, answer: Any) -> bool:
+    async def complete(self, held: Acquisition, answer: Any) -> bool:
         """Store the answer; waits until the table service has settled it."""
         return await self._finish(held, ClaimState.COMPLETED, answer, "")
 
-    async def release(self, held: Held) -> bool:
+    async def release(self, held: Acquisition) -> bool:
         """Give the claim back; only where nothing was dispatched for it."""
         return await self._finish(held, ClaimState.RELEASED, None, "not run")
 
-    async def mark_unknown(self, held: Held, note: str) -> bool:
+    async def mark_unknown(self, held: Acquisition, note: str) -> bool:
         """Record that the request may have run; operators see it listed."""
         return await self._finish(held, ClaimState.UNKNOWN, None, note)
 
@@ -182,7 +182,7 @@
             ClaimState.RUNNING,
         ):
             return False
-        held = Held(acquired=True, claim=claim, version=row.version)
+        held = Acquisition(acquired=True, claim=claim, version=row.version)
         return await self._finish(held, ClaimState.RESOLVED, None, note)
 
     async def drain(self, within: float) -> int:
@@ -198,7 +198,7 @@
         await asyncio.gather(*self._closing, return_exceptions=True)
 
     async def _finish(
-        self, held: Held, state: ClaimState, answer: Any, note: str
+        self, held: Acquisition, state: ClaimState, answer: Any, note: str
     ) -> bool:
         final = msgspec.structs.replace(
             held.claim, state=state, answer=answer, note=note
--- a/packages/coordination/src/eelgrass_coordination/follower.py
+++ b/packages/coordination/src/eelgrass_coordination/follower.py
@@ -25,7 +25,7 @@
         self._clock = clock
         self._advanced = asyncio.Event()
         self.snapshot: Snapshot = EMPTY
-        self.recent: deque[Change] = deque(maxlen=KEPT_CHANGES)
+        self.recent_changes: deque[Change] = deque(maxlen=KEPT_CHANGES)
         self.confirmed_at = clock()
         self.ready = False
 
@@ -51,7 +51,7 @@
             if change.revision <= self.revision:
                 continue
             self.snapshot = apply_change(self.snapshot, change)
-            self.recent.append(change)
+            self.recent_changes.append(change)
         return self._announce(before)
 
     def replace(self, snapshot: Snapshot) -> bool:
@@ -60,14 +60,16 @@
             return False
         before = self.revision
         self.snapshot = snapshot
-        self.recent.clear()
+        self.recent_changes.clear()
         return self._announce(before)
 
     def changes_after(self, revision: Revision) -> list[Change] | None:
         """Return the changes above ``revision``, or None where too old."""
         if revision >= self.revision:
             return []
-        wanted = [change for change in self.recent if change.revision > revision]
+        wanted = [
+            change for change in self.recent_changes if change.revision > revision
+        ]
         if not wanted or wanted[0].revision != revision + 1:
             return None
         return wanted
@@ -87,7 +89,7 @@
         return True
 
 
-def follow_or_gap(follower: Follower, changes: Iterable[Change]) -> bool:
+def try_advance(follower: Follower, changes: Iterable[Change]) -> bool:
     """Apply ``changes``; returns False where a whole snapshot is needed."""
     try:
         follower.advance(changes)
--- a/packages/coordination/src/eelgrass_coordination/heard_marks.py
+++ b/packages/coordination/src/eelgrass_coordination/gossip_items.py
@@ -1,23 +1,23 @@
 """The marks that a member has heard of, each by its kind and name."""
 
-from .messages import Mark, Outbox
+from .messages import BroadcastQueue, GossipItem
 from .suspicion import FORGET_PERIODS
 
-__all__ = ["HeardMarks"]
+__all__ = ["GossipItems"]
 
 # Marks that are remembered. One that was dropped is news once more where it is heard
 # again, and is passed on a limited number of times.
 MAX_HEARD = 8192
 
 
-class HeardMarks:
+class GossipItems:
     """The newest number of each mark, when it was heard, and what is still news."""
 
     def __init__(self) -> None:
         self._heard_by_key: dict[tuple[str, str], tuple[int, int]] = {}
-        self._news = Outbox()
+        self._news = BroadcastQueue()
 
-    def take(self, mark: Mark, period: int, times: int) -> bool:
+    def take(self, mark: GossipItem, period: int, times: int) -> bool:
         """Take in a mark, to be sent that many times; return whether it is news."""
         key = (mark.kind, mark.name)
         known = self._heard_by_key.pop(key, None)
@@ -30,13 +30,15 @@
         self._news.put(key, mark, times)
         return True
 
-    def to_send(self, most: int) -> tuple[Mark, ...]:
+    def to_send(self, most: int) -> tuple[GossipItem, ...]:
         """Return the news that was sent least, ``most`` marks of it."""
         return self._news.take(most)
 
-    def all(self) -> tuple[Mark, ...]:
+    def all(self) -> tuple[GossipItem, ...]:
         """Return all marks that are remembered."""
-        return tuple(Mark(*key, heard[0]) for key, heard in self._heard_by_key.items())
+        return tuple(
+            GossipItem(*key, heard[0]) for key, heard in self._heard_by_key.items()
+        )
 
     def forget_old(self, period: int) -> None:
         """Drop marks that were heard long ago."""
--- a/packages/coordination/src/eelgrass_coordination/limits.py
+++ b/packages/coordination/src/eelgrass_coordination/limits.py
@@ -14,7 +14,7 @@
     Example::
 
         budget = RetryBudget(ratio=0.1, reserve=10)
-        budget.note_request()
+        budget.record_request()
         if budget.try_spend():
             ...
     """
@@ -24,7 +24,7 @@
         self._reserve = reserve
         self._tokens = reserve
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Earn the share of one request."""
         self._tokens = min(self._reserve, self._tokens + self._ratio)
 
@@ -45,7 +45,7 @@
         self._weight = weight
         self._seen = False
 
-    def note(self, value: float) -> None:
+    def record(self, value: float) -> None:
         """Take in one observation."""
         if not self._seen:
             self.mean = value
--- a/packages/coordination/src/eelgrass_coordination/membership.py
+++ b/packages/coordination/src/eelgrass_coordination/membership.py
@@ -27,13 +27,13 @@
 
 import msgspec
 
-from .awake_time import awake_wait
-from .comparison import Comparison
+from .anti_entropy import AntiEntropy
 from .datagrams import Datagrams
-from .heard_marks import HeardMarks
+from .gossip_items import GossipItems
 from .ids import NodeId, Revision
 from .members import Member, MemberState, MemberTable
-from .messages import Exchange, Mark, Message, MessageKind, Outbox
+from .messages import BroadcastQueue, Exchange, GossipItem, Message, MessageKind
+from .running_time import stall_aware_wait
 from .suspicion import Suspicions
 
 __all__ = ["Membership"]
@@ -81,21 +81,21 @@
         self.revision = Revision(0)
         self.confirmed_s: Callable[[], float] = lambda: 0.0
         self.on_revision: Callable[[Revision, Member, float], None] = _ignore
-        self.on_mark: Callable[[Mark], None] = _ignore
+        self.on_gossip_item: Callable[[GossipItem], None] = _ignore
         self.on_change: Callable[[], None] = _ignore
         self.on_ack: Callable[[Member], None] = _ignore
         self._seeds = [seed for seed in seeds if seed != own.gossip]
         self._interval_s = interval_s
         self._random = randomness or random.Random()
         self._datagrams = Datagrams(self._receive)
-        self._updates = Outbox()
-        self._marks = HeardMarks()
+        self._updates = BroadcastQueue()
+        self._marks = GossipItems()
         self._ring: list[NodeId] = []
         self._numbers = itertools.count(1)
         self._awaited: dict[int, asyncio.Future] = {}
         self._relayed: dict[int, tuple[str, int]] = {}
         self._suspicions = Suspicions()
-        self._comparison = Comparison(self._live, self._send)
+        self._comparison = AntiEntropy(self._live, self._send)
         self._period = 0
         self._tasks: list[asyncio.Task] = []
         self._push_timer: asyncio.TimerHandle | None = None
@@ -145,11 +145,11 @@
             self.revision = revision
             self._push()
 
-    def announce_mark(self, mark: Mark) -> bool:
+    def announce_gossip_item(self, mark: GossipItem) -> bool:
         """Tell of a mark at once; returns whether it was news here."""
-        return bool(self.announce_marks([mark]))
+        return bool(self.announce_gossip_items([mark]))
 
-    def announce_marks(self, marks: Iterable[Mark]) -> list[Mark]:
+    def announce_gossip_items(self, marks: Iterable[GossipItem]) -> list[GossipItem]:
         """Tell of marks at once; returns those that were news here."""
         times = self._retransmissions()
         news = [mark for mark in marks if self._marks.take(mark, self._period, times)]
@@ -161,14 +161,14 @@
         """Return all that is known here, for another node."""
         return Exchange((self.own, *self.members.by_id.values()), self._marks.all())
 
-    def take_exchange(self, theirs: Exchange) -> None:
+    def apply_exchange(self, theirs: Exchange) -> None:
         """Take in all that another node knows."""
         self._take(theirs.members, theirs.marks)
 
-    def _take(self, members: Iterable[Member], marks: Iterable[Mark]) -> None:
+    def _take(self, members: Iterable[Member], marks: Iterable[GossipItem]) -> None:
         self._merge_all(members)
-        for mark in self.announce_marks(marks):
-            self.on_mark(mark)
+        for mark in self.announce_gossip_items(marks):
+            self.on_gossip_item(mark)
 
     def _receive(self, message: Message) -> None:
         if message.sender.id == self.own.id:
@@ -265,7 +265,7 @@
             del self._awaited[number]
 
     async def _within(self, answered: asyncio.Future, fraction: float) -> bool:
-        return await awake_wait(answered, self._interval_s * fraction)
+        return await stall_aware_wait(answered, self._interval_s * fraction)
 
     def _next_in_ring(self) -> Member | None:
         while True:
--- a/packages/coordination/src/eelgrass_coordination/messages.py
+++ b/packages/coordination/src/eelgrass_coordination/messages.py
@@ -7,7 +7,7 @@
 from .ids import Revision
 from .members import Member
 
-__all__ = ["Exchange", "Mark", "Message", "MessageKind", "Outbox"]
+__all__ = ["Exchange", "GossipItem", "Message", "MessageKind", "BroadcastQueue"]
 
 
 class MessageKind(Enum):
@@ -22,7 +22,7 @@
     RECORDS = "records"
 
 
-class Mark(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class GossipItem(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A named fact with a number that only grows, such as a leaving back end."""
 
     kind: str
@@ -44,7 +44,7 @@
     revision: Revision = Revision(0)
     confirmed_ms: int = 0
     updates: tuple[Member, ...] = ()
-    marks: tuple[Mark, ...] = ()
+    marks: tuple[GossipItem, ...] = ()
     digest: int = 0
     fingerprints: bytes = b""
 
@@ -53,10 +53,10 @@
     """All that a node knows of members and marks, for a full exchange."""
 
     members: tuple[Member, ...]
-    marks: tuple[Mark, ...] = ()
+    marks: tuple[GossipItem, ...] = ()
 
 
-class Outbox:
+class BroadcastQueue:
     """News with the number of times each is still to be sent."""
 
     def __init__(self) -> None:
--- a/packages/coordination/src/eelgrass_coordination/awake_time.py
+++ b/packages/coordination/src/eelgrass_coordination/running_time.py
@@ -13,10 +13,10 @@
 import weakref
 
 __all__ = [
-    "AwakeTimeout",
-    "awake_sleep",
-    "awake_time",
-    "awake_wait",
+    "StallAwareTimeout",
+    "stall_aware_sleep",
+    "running_time",
+    "stall_aware_wait",
     "deadline_timeout",
 ]
 
@@ -43,7 +43,7 @@
     def end_wait(self) -> None:
         self._waits -= 1
 
-    def awake_time(self) -> float:
+    def running_time(self) -> float:
         """Return the seconds in which the loop turned; only differences count."""
         now = asyncio.get_running_loop().time()
         late_s = 0.0 if self._due is None else max(0.0, now - self._due)
@@ -76,15 +76,15 @@
     return found
 
 
-def awake_time() -> float:
+def running_time() -> float:
     """Return the seconds in which this process ran; only differences count.
 
     A stall is known of only while something waits.
     """
-    return _stalls().awake_time()
+    return _stalls().running_time()
 
 
-class AwakeTimeout:
+class StallAwareTimeout:
     """Raises :class:`TimeoutError` in its block after ``within_s`` awake seconds.
 
     It is used like :func:`asyncio.timeout`, and None stands for no end::
@@ -101,7 +101,7 @@
         self._ends_at: float | None = None
         self._timer: asyncio.Handle | None = None
 
-    async def __aenter__(self) -> "AwakeTimeout":
+    async def __aenter__(self) -> "StallAwareTimeout":
         """Begin to wait."""
         self._loop = asyncio.get_running_loop()
         self._stalls = _stalls()
@@ -127,7 +127,7 @@
             self._ends_at = None
             self._disarm()
             return
-        now = self._stalls.awake_time()
+        now = self._stalls.running_time()
         earlier = self._ends_at is not None and now + within_s < self._ends_at
         self._ends_at = now + within_s
         if earlier:
@@ -140,7 +140,7 @@
         return self._bound.expired()
 
     def _arm(self) -> None:
-        left_s = max(0.0, self._ends_at - self._stalls.awake_time())
+        left_s = max(0.0, self._ends_at - self._stalls.running_time())
         self._timer = self._loop.call_later(left_s, self._time_is_over)
 
     def _disarm(self) -> None:
@@ -153,7 +153,7 @@
         self._timer = self._loop.call_soon(self._judge)
 
     def _judge(self) -> None:
-        if self._ends_at <= self._stalls.awake_time():
+        if self._ends_at <= self._stalls.running_time():
             self._timer = None
             self._bound.reschedule(self._loop.time())
         else:
@@ -192,15 +192,15 @@
     return _DeadlineTimeout(when)
 
 
-async def awake_sleep(seconds: float) -> None:
+async def stall_aware_sleep(seconds: float) -> None:
     """Wait for so many awake seconds."""
-    await awake_wait(asyncio.get_running_loop().create_future(), seconds)
+    await stall_aware_wait(asyncio.get_running_loop().create_future(), seconds)
 
 
-async def awake_wait(awaited: asyncio.Future, within_s: float) -> bool:
+async def stall_aware_wait(awaited: asyncio.Future, within_s: float) -> bool:
     """Return whether a future is done within so many awake seconds; it goes on."""
     try:
-        async with AwakeTimeout(within_s):
+        async with StallAwareTimeout(within_s):
             await asyncio.wait({awaited})
     except TimeoutError:
         pass
--- a/packages/coordination/tests/test_comparison.py
+++ b/packages/coordination/tests/test_anti_entropy.py
@@ -7,7 +7,7 @@
 import pytest
 
 from eelgrass_coordination import Member, Membership, MemberState
-from eelgrass_coordination.comparison import Comparison, Fingerprints
+from eelgrass_coordination.anti_entropy import AntiEntropy, Fingerprints
 from eelgrass_coordination.messages import Message, MessageKind
 from support.datagram_network import run_network
 
@@ -146,7 +146,7 @@
         def send(address, kind, *, fingerprints=b"", records=()):
             sent.append((address, kind, fingerprints, records))
 
-        return Comparison(lambda: live, send), sent
+        return AntiEntropy(lambda: live, send), sent
 
     def test_only_what_differs_is_sent(self):
         ours = [record(n) for n in range(20)]
--- a/packages/coordination/tests/test_change_log.py
+++ b/packages/coordination/tests/test_change_log.py
@@ -166,7 +166,7 @@
         for n in (1, 2):
             await team.submit(create(f"thing-{n}"))
         await team.snapshot_at(3)
-        changes = list(team.follower.recent)
+        changes = list(team.follower.recent_changes)
         other = Follower()
         other.advance(changes)
         other.advance(changes[:1])
@@ -179,7 +179,7 @@
             await team.submit(create(f"thing-{n}"))
         await team.snapshot_at(3)
         with pytest.raises(SnapshotGap):
-            Follower().advance(list(team.follower.recent)[1:])
+            Follower().advance(list(team.follower.recent_changes)[1:])
 
     async def test_age_counts_from_the_last_confirmation(self):
         now = [100.0]
--- a/packages/coordination/tests/test_membership.py
+++ b/packages/coordination/tests/test_membership.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from eelgrass_coordination import Mark, Member, Membership, MemberState
+from eelgrass_coordination import GossipItem, Member, Membership, MemberState
 from eelgrass_coordination.membership import GREETING_INTERVALS
 from eelgrass_standins.ports import free_addresses
 
@@ -104,22 +104,24 @@
         async with Group(6) as group:
             heard = []
             for member in group.members[1:]:
-                member.on_mark = heard.append
-            mark = Mark("leaving", "engine-1", 3)
-            assert group.members[0].announce_mark(mark)
+                member.on_gossip_item = heard.append
+            mark = GossipItem("leaving", "engine-1", 3)
+            assert group.members[0].announce_gossip_item(mark)
             await group.until(lambda: len(heard) == 5)
             await asyncio.sleep(3 * INTERVAL_S)
             assert heard == [mark] * 5
-            assert not group.members[0].announce_mark(Mark("leaving", "engine-1", 2))
+            assert not group.members[0].announce_gossip_item(
+                GossipItem("leaving", "engine-1", 2)
+            )
 
     async def test_more_marks_than_one_message_holds_reach_all(self):
         """A server ends under many requests, and all nodes must know them at once."""
         async with Group(6) as group:
             heard = [set() for _ in group.members]
             for member, names in zip(group.members, heard, strict=True):
-                member.on_mark = lambda mark, names=names: names.add(mark.name)
-            marks = [Mark("ended", f"request-{n}", 1) for n in range(30)]
-            assert group.members[0].announce_marks(marks) == marks
+                member.on_gossip_item = lambda mark, names=names: names.add(mark.name)
+            marks = [GossipItem("ended", f"request-{n}", 1) for n in range(30)]
+            assert group.members[0].announce_gossip_items(marks) == marks
             await group.until(lambda: all(len(names) == 30 for names in heard[1:]))
 
     async def test_a_group_that_starts_as_a_whole_agrees_within_an_interval(self):
--- a/packages/coordination/tests/test_awake_time.py
+++ b/packages/coordination/tests/test_running_time.py
@@ -9,12 +9,12 @@
 import pytest
 
 from eelgrass_coordination import (
-    AwakeTimeout,
-    awake_sleep,
-    awake_wait,
+    StallAwareTimeout,
     deadline_timeout,
+    stall_aware_sleep,
+    stall_aware_wait,
 )
-from eelgrass_coordination.awake_time import TICK_S
+from eelgrass_coordination.running_time import TICK_S
 
 # Twice as long as the waits here.
 STALL_S = 0.3
@@ -46,14 +46,14 @@
     async def test_an_answer_that_came_during_a_stall_is_read(self):
         with answer_after(0.02) as ours:
             asyncio.get_running_loop().call_soon(stand_still)
-            async with AwakeTimeout(WAIT_S):
+            async with StallAwareTimeout(WAIT_S):
                 assert await read(ours) == b"answer"
 
     async def test_time_without_running_does_not_count(self):
         loop = asyncio.get_running_loop()
         with answer_after(STALL_S + WAIT_S * 0.6) as ours:
             loop.call_soon(stand_still)
-            async with AwakeTimeout(WAIT_S):
+            async with StallAwareTimeout(WAIT_S):
                 assert await read(ours) == b"answer"
 
     async def test_several_stalls_add_up(self):
@@ -62,7 +62,7 @@
         with answer_after(2 * STALL_S + WAIT_S - 2 * TICK_S) as ours:
             loop.call_soon(stand_still)
             loop.call_later(STALL_S + 0.01, stand_still)
-            async with AwakeTimeout(WAIT_S):
+            async with StallAwareTimeout(WAIT_S):
                 assert await read(ours) == b"answer"
 
     @pytest.mark.parametrize("stalled", [False, True])
@@ -72,7 +72,7 @@
             loop.call_soon(stand_still)
         began = loop.time()
         with pytest.raises(TimeoutError):
-            async with AwakeTimeout(WAIT_S):
+            async with StallAwareTimeout(WAIT_S):
                 await loop.create_future()
         longest_s = WAIT_S + stalled * STALL_S
         assert WAIT_S * 0.9 <= loop.time() - began < longest_s + 0.15
@@ -81,7 +81,7 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         with pytest.raises(TimeoutError):
-            async with AwakeTimeout(5.0) as bound:
+            async with StallAwareTimeout(5.0) as bound:
                 bound.restart(0.01)
                 bound.restart(0.2)
                 await asyncio.sleep(0.05)
@@ -92,7 +92,7 @@
 
     async def test_a_wait_that_has_ended_is_not_begun_again(self):
         with pytest.raises(TimeoutError):
-            async with AwakeTimeout(0.01) as bound:
+            async with StallAwareTimeout(0.01) as bound:
                 try:
                     await asyncio.get_running_loop().create_future()
                 finally:
@@ -101,7 +101,7 @@
 
     async def test_a_cancellation_from_outside_is_passed_on(self):
         async def wait():
-            async with AwakeTimeout(None):
+            async with StallAwareTimeout(None):
                 await asyncio.get_running_loop().create_future()
 
         waiting = asyncio.create_task(wait())
@@ -115,15 +115,15 @@
     async def test_it_tells_whether_the_future_is_done(self):
         loop = asyncio.get_running_loop()
         future = loop.create_future()
-        assert not await awake_wait(future, 0.01)
+        assert not await stall_aware_wait(future, 0.01)
         loop.call_later(0.01, future.set_result, None)
-        assert await awake_wait(future, 1.0)
+        assert await stall_aware_wait(future, 1.0)
 
     async def test_a_sleep_is_longer_by_a_stall(self):
         loop = asyncio.get_running_loop()
         began = loop.time()
         loop.call_soon(stand_still)
-        await awake_sleep(WAIT_S)
+        await stall_aware_sleep(WAIT_S)
         # The stall is known but for one tick.
         assert loop.time() - began >= STALL_S + WAIT_S - 0.06
 
--- a/packages/node/src/eelgrass_node/connection/listening.py
+++ b/packages/node/src/eelgrass_node/connection/listening.py
@@ -3,7 +3,7 @@
 import asyncio
 import contextlib
 
-from eelgrass_coordination import AwakeTimeout
+from eelgrass_coordination import StallAwareTimeout
 
 from ..process.ended_servers import Listening
 
@@ -18,7 +18,7 @@
     """Return whether connections to an IP address and port are accepted."""
     host, _, port = address.rpartition(":")
     try:
-        async with AwakeTimeout(CONNECT_S):
+        async with StallAwareTimeout(CONNECT_S):
             _, writer = await asyncio.open_connection(host.strip("[]"), int(port))
     except ConnectionRefusedError:
         return Listening.NO
--- a/packages/node/src/eelgrass_node/connection/peers.py
+++ b/packages/node/src/eelgrass_node/connection/peers.py
@@ -75,7 +75,7 @@
         """Answer ``POST /peer/v1/members`` with all that is known."""
         theirs = msgspec.json.decode(await request.read(), type=Exchange)
         ours = self._membership.exchange()
-        self._membership.take_exchange(theirs)
+        self._membership.apply_exchange(theirs)
         return json_response(ours)
 
     def add_routes(self, app: web.Application) -> None:
--- a/packages/node/src/eelgrass_node/connection/piece_calls.py
+++ b/packages/node/src/eelgrass_node/connection/piece_calls.py
@@ -7,7 +7,7 @@
 import aiohttp
 from multidict import CIMultiDict
 
-from eelgrass_coordination import AwakeTimeout
+from eelgrass_coordination import StallAwareTimeout
 
 from ..exceptions import PieceAnswerMalformed
 from ..process.backends import Backend
@@ -57,7 +57,7 @@
         now = asyncio.get_running_loop().time()
         body = self._codec.encode_pieces(pieces, now)
         try:
-            async with AwakeTimeout(within_s):
+            async with StallAwareTimeout(within_s):
                 status, answer = await self._post(backend, self._codec.RUN_PATH, body)
             if status == HTTP_OK:
                 return self._codec.decode_outcomes(answer, len(pieces))
@@ -83,7 +83,7 @@
         """
         body = self._codec.encode_free(handles)
         try:
-            async with AwakeTimeout(FREE_TIMEOUT_S):
+            async with StallAwareTimeout(FREE_TIMEOUT_S):
                 status, _ = await self._post(backend, self._codec.FREE_PATH, body)
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError):
             return False
--- a/packages/node/src/eelgrass_node/connection/piece_handoff.py
+++ b/packages/node/src/eelgrass_node/connection/piece_handoff.py
@@ -12,7 +12,7 @@
 import msgspec
 from aiohttp import web
 
-from eelgrass_coordination import AwakeTimeout
+from eelgrass_coordination import StallAwareTimeout
 
 from ..exceptions import PeerUnreachable
 from ..process.backends import ServerLife
@@ -98,7 +98,7 @@
         now = asyncio.get_running_loop().time()
         body = msgspec.json.encode(_Handoff(service, _sent(pieces, now)))
         try:
-            async with AwakeTimeout(ACCEPT_S) as bound:
+            async with StallAwareTimeout(ACCEPT_S) as bound:
                 async with self._session.post(
                     f"http://{address}{PIECES_PATH}", data=body, allow_redirects=False
                 ) as response:
@@ -125,7 +125,7 @@
         body = msgspec.json.encode(_FreeResults(service, handles))
         try:
             async with (
-                AwakeTimeout(within_s),
+                StallAwareTimeout(within_s),
                 self._session.post(
                     f"http://{address}{FREE_PATH}", data=body, allow_redirects=False
                 ) as response,
--- a/packages/node/src/eelgrass_node/connection/sockets.py
+++ b/packages/node/src/eelgrass_node/connection/sockets.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from eelgrass_coordination import AwakeTimeout
+from eelgrass_coordination import StallAwareTimeout
 
 __all__ = ["Connector", "new_session", "open_socket"]
 
@@ -48,7 +48,7 @@
     ) -> aiohttp.connector.Connection:
         """Get a connection; raises :class:`TimeoutError` where none comes about."""
         unbounded = aiohttp.ClientTimeout(total=None)
-        async with AwakeTimeout(timeout.sock_connect):
+        async with StallAwareTimeout(timeout.sock_connect):
             return await super().connect(req, traces, unbounded)
 
 
--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -6,7 +6,7 @@
 import asyncio
 from functools import partial
 
-from eelgrass_coordination import Mark, Member, Membership, MemberState
+from eelgrass_coordination import GossipItem, Member, Membership, MemberState
 from eelgrass_coordination.ids import Revision
 
 from .boot_clock import unix_ms
@@ -128,12 +128,12 @@
             self.membership.probe,
         )
         self.failing = FailingServers(
-            self.backends, self.membership.announce_mark, unix_ms
+            self.backends, self.membership.announce_gossip_item, unix_ms
         )
         self.poison = PoisonRequests(
             self.backends,
             listening_at,
-            self.membership.announce_marks,
+            self.membership.announce_gossip_items,
             loop.time,
             unix_ms,
             partial(self.store.write, CRASHES_TABLE),
@@ -145,7 +145,7 @@
             lambda: self.tables.operator.complete_to,
             lambda: self.tables.operator.reachable,
             lambda: self.deployments.current,
-            self.membership.announce_mark,
+            self.membership.announce_gossip_item,
             loop.time,
         )
         self.warm_up = WarmUp(
@@ -170,7 +170,7 @@
             self.warm_up.admission.is_bounded,
         )
         self.backends.on_change = self.pieces.servers_changed
-        self.membership.on_mark = self._mark_heard
+        self.membership.on_gossip_item = self._mark_heard
         self.membership.on_ack = self._ack_heard
         self.reach.on_silent = self.checks.check
         self.table_feed = TableFeedClient(
@@ -384,7 +384,7 @@
         self.deployments.hear(revision)
         self.catch_up.heard(revision, member, age_s)
 
-    def _mark_heard(self, mark: Mark) -> None:
+    def _mark_heard(self, mark: GossipItem) -> None:
         self.failing.hear(mark)
         self.poison.news.hear(mark)
         self.places.news.hear(mark)
--- a/packages/node/src/eelgrass_node/process/backends.py
+++ b/packages/node/src/eelgrass_node/process/backends.py
@@ -158,7 +158,7 @@
 
     def note_call(self, took_s: float) -> None:
         """Take in how long a call took, in seconds."""
-        self.call_s.note(took_s)
+        self.call_s.record(took_s)
         self._called_at = asyncio.get_running_loop().time()
 
     def expected_call_s(self) -> float:
--- a/packages/node/src/eelgrass_node/process/claimed.py
+++ b/packages/node/src/eelgrass_node/process/claimed.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from eelgrass_coordination import Claim, Claims, ClaimState, Held
+from eelgrass_coordination import Acquisition, Claim, Claims, ClaimState
 from eelgrass_coordination.exceptions import ClaimUnsettled
 from eelgrass_coordination.ids import ClaimId, Incarnation, NodeId, new_id
 
@@ -94,7 +94,7 @@
             return OwnerReply(OwnerState.RUNNING)
         return OwnerReply(OwnerState.FINISHED)
 
-    async def _acquire(self, request: CallerRequest) -> Held:
+    async def _acquire(self, request: CallerRequest) -> Acquisition:
         claim = self._new_claim(request)
         # Registered before the write: a peer may see the row before we do.
         self._running_by_id[claim.claim_id] = running = _Running()
@@ -113,7 +113,7 @@
             self._forget(claim.claim_id, running)
         return held
 
-    async def _execute(self, held: Held, execute: Execute) -> Any:
+    async def _execute(self, held: Acquisition, execute: Execute) -> Any:
         running = self._running_by_id[held.claim.claim_id]
         try:
             answer = await execute()
@@ -134,7 +134,7 @@
         finally:
             self._forget_later(held.claim.claim_id, running)
 
-    def _after_refusal(self, held: Held, refused: Refused) -> Awaitable[bool]:
+    def _after_refusal(self, held: Acquisition, refused: Refused) -> Awaitable[bool]:
         if refused.outcome is Outcome.UNKNOWN:
             log(
                 Part.CLAIMS,
@@ -147,7 +147,7 @@
         # NO_EFFECT is as good as not run: only repeatable stages began.
         return self._claims.release(held)
 
-    async def _store(self, held: Held, storing: Awaitable[bool]) -> None:
+    async def _store(self, held: Acquisition, storing: Awaitable[bool]) -> None:
         """Store the end of a claim; goes on in the background if it is slow."""
         task = self._claims.finish_in_background(storing)
         await asyncio.wait({task}, timeout=STORE_BEFORE_ANSWER_S)
--- a/packages/node/src/eelgrass_node/process/configuration.py
+++ b/packages/node/src/eelgrass_node/process/configuration.py
@@ -20,7 +20,7 @@
     ranked,
 )
 from eelgrass_coordination.exceptions import PlatformError
-from eelgrass_coordination.follower import follow_or_gap
+from eelgrass_coordination.follower import try_advance
 from eelgrass_coordination.ids import Revision
 
 from ..connection.peer_calls import PeerCalls
@@ -120,7 +120,7 @@
     def advance(self, changes: list[Change] | tuple[Change, ...]) -> bool:
         """Apply changes; returns False where some are missing in between."""
         before = self.follower.revision
-        complete = follow_or_gap(self.follower, changes)
+        complete = try_advance(self.follower, changes)
         self._renew(before)
         return complete
 
@@ -192,7 +192,7 @@
         if answer.snapshot is not None:
             self.follower.replace(answer.snapshot)
         elif answer.changes:
-            follow_or_gap(self.follower, answer.changes)
+            try_advance(self.follower, answer.changes)
         self._renew(before)
 
     def _renew(self, before: Revision) -> None:
--- a/packages/node/src/eelgrass_node/process/crash_news.py
+++ b/packages/node/src/eelgrass_node/process/crash_news.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from eelgrass_coordination import Mark
+from eelgrass_coordination import GossipItem
 from eelgrass_coordination.ids import BackendId
 
 from ..log import Part, log
@@ -31,7 +31,7 @@
     def __init__(
         self,
         quarantine: Quarantine,
-        announce: Callable[[Sequence[Mark]], object],
+        announce: Callable[[Sequence[GossipItem]], object],
         clock: Callable[[], int],
     ) -> None:
         self._quarantine = quarantine
@@ -41,13 +41,13 @@
     def tell_ended(self, life: ServerLife, requests: Iterable[Fingerprint]) -> None:
         """Tell others that a server has ended under requests."""
         now = self._clock()
-        self._announce([Mark(ENDED_KIND, _name(r, life), now) for r in requests])
+        self._announce([GossipItem(ENDED_KIND, _name(r, life), now) for r in requests])
 
     def tell_success(self, request: Fingerprint) -> None:
         """Tell others that a server has run a request to its end."""
-        self._announce([Mark(SOUND_KIND, request, self._clock())])
+        self._announce([GossipItem(SOUND_KIND, request, self._clock())])
 
-    def hear(self, mark: Mark) -> None:
+    def hear(self, mark: GossipItem) -> None:
         """Take in what another node tells; marks of other kinds are nothing here."""
         if mark.kind == SOUND_KIND:
             self._quarantine.clear(Fingerprint(mark.name))
--- a/packages/node/src/eelgrass_node/process/failing_servers.py
+++ b/packages/node/src/eelgrass_node/process/failing_servers.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from eelgrass_coordination import Mark
+from eelgrass_coordination import GossipItem
 from eelgrass_coordination.ids import BackendId
 
 from ..log import Part, log
@@ -29,7 +29,7 @@
     def __init__(
         self,
         backends: Backends,
-        announce: Callable[[Mark], bool],
+        announce: Callable[[GossipItem], bool],
         clock: Callable[[], int],
     ) -> None:
         self._backends = backends
@@ -38,9 +38,9 @@
 
     def note_failure(self, backend: Backend) -> None:
         """Tell other nodes that a server has failed a request."""
-        self._announce(Mark(MARK_KIND, backend.entry.id, self._clock()))
+        self._announce(GossipItem(MARK_KIND, backend.entry.id, self._clock()))
 
-    def hear(self, mark: Mark) -> None:
+    def hear(self, mark: GossipItem) -> None:
         """Take in what another node tells."""
         backend = self._backends.by_id.get(BackendId(mark.name))
         if mark.kind != MARK_KIND or backend is None:
--- a/packages/node/src/eelgrass_node/process/freed_results.py
+++ b/packages/node/src/eelgrass_node/process/freed_results.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Protocol
 
-from eelgrass_coordination import Member, MemberState, awake_wait
+from eelgrass_coordination import Member, MemberState, stall_aware_wait
 from eelgrass_coordination.ids import NodeId
 
 from ..exceptions import PeerUnreachable
@@ -85,7 +85,7 @@
             self._client.free(owner.internal, service, handles, within_s)
         )
         try:
-            answered = await awake_wait(telling, OWNER_ANSWERS_S)
+            answered = await stall_aware_wait(telling, OWNER_ANSWERS_S)
             if not answered or telling.exception() is not None:
                 self._local.free(service, handles)
                 self._note_silent(owner)
--- a/packages/node/src/eelgrass_node/process/node.py
+++ b/packages/node/src/eelgrass_node/process/node.py
@@ -11,9 +11,9 @@
     ChangeLog,
     Claims,
     Exchange,
+    GossipItem,
     HttpObjects,
     HttpTable,
-    Mark,
     Member,
     Membership,
     RetryBudget,
@@ -210,7 +210,7 @@
     def _connect(self) -> None:
         membership = self.membership
         membership.on_revision = self.configuration.heard
-        membership.on_mark = self._hear_mark
+        membership.on_gossip_item = self._hear_mark
         membership.on_change = self._members_changed
         membership.confirmed_s = self.configuration.follower.age
         self.configuration.on_advance = self._announce_revision
@@ -291,7 +291,7 @@
             )
         except PeerUnreachable:
             return False
-        self.membership.take_exchange(theirs)
+        self.membership.apply_exchange(theirs)
         return True
 
     def _polls(self) -> bool:
@@ -305,9 +305,11 @@
         log(Part.CONFIGURATION, "A revision is in force.", revision=revision)
 
     def _announce_leaving(self, backend_id: str, started: int) -> None:
-        self.membership.announce_mark(Mark(LEAVING_MARK, backend_id, started))
+        self.membership.announce_gossip_item(
+            GossipItem(LEAVING_MARK, backend_id, started)
+        )
 
-    def _hear_mark(self, mark: Mark) -> None:
+    def _hear_mark(self, mark: GossipItem) -> None:
         if mark.kind == LEAVING_MARK:
             self.backends.mark_leaving(mark.name, mark.number)
 
--- a/packages/node/src/eelgrass_node/process/piece_queue.py
+++ b/packages/node/src/eelgrass_node/process/piece_queue.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from eelgrass_coordination import awake_time
+from eelgrass_coordination import running_time
 from eelgrass_coordination.ids import BackendId
 
 from ..log import Part, log
@@ -316,7 +316,7 @@
     ) -> None:
         batch = list(futures)
         within_s = expected_s * GIVE_UP_FACTOR + GIVE_UP_SLACK_S
-        began = awake_time()
+        began = running_time()
         use = self._servers.use(server)
         try:
             outcomes = await self._run_call(server, batch, within_s)
@@ -324,7 +324,7 @@
             use.calls -= 1
         now = _now()
         # What this process stood still says nothing of the server's pace.
-        took_s = awake_time() - began
+        took_s = running_time() - began
         self._servers.note_call(server, batch, outcomes, took_s)
         made = sum(outcome.handle is not None for outcome in outcomes)
         self._shares.note_call(self._order.work_s(made), took_s)
--- a/packages/node/src/eelgrass_node/process/places/evacuation_news.py
+++ b/packages/node/src/eelgrass_node/process/places/evacuation_news.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable
 
-from eelgrass_coordination import Mark
+from eelgrass_coordination import GossipItem
 from eelgrass_coordination.ids import DataCentre
 
 from ...log import Part, log
@@ -23,7 +23,7 @@
     """News between the nodes; ``announce`` tells of a mark."""
 
     def __init__(
-        self, evacuations: Evacuations, announce: Callable[[Mark], object]
+        self, evacuations: Evacuations, announce: Callable[[GossipItem], object]
     ) -> None:
         self._evacuations = evacuations
         self._announce = announce
@@ -31,9 +31,9 @@
     def tell(self, data_centre: DataCentre, version: int, is_evacuated: bool) -> None:
         """Tell other nodes what was read of a data centre."""
         number = version * STATES + int(is_evacuated)
-        self._announce(Mark(MARK_KIND, data_centre, number))
+        self._announce(GossipItem(MARK_KIND, data_centre, number))
 
-    def hear(self, mark: Mark) -> None:
+    def hear(self, mark: GossipItem) -> None:
         """Take in what another node tells; marks of other kinds are nothing here."""
         if mark.kind != MARK_KIND:
             return
--- a/packages/node/src/eelgrass_node/process/places/places.py
+++ b/packages/node/src/eelgrass_node/process/places/places.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from eelgrass_coordination import Mark
+from eelgrass_coordination import GossipItem
 from eelgrass_coordination.ids import DataCentre
 
 from ...version.deployment import Deployment, ServiceName
@@ -28,7 +28,7 @@
         complete_to: Callable[[], int],
         store_reachable: Callable[[], bool],
         deployment: Callable[[], Deployment | None],
-        announce: Callable[[Mark], object],
+        announce: Callable[[GossipItem], object],
         clock: Callable[[], float],
     ) -> None:
         self._backends = backends
--- a/packages/node/src/eelgrass_node/process/poison_requests.py
+++ b/packages/node/src/eelgrass_node/process/poison_requests.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Awaitable, Callable, Iterable, Sequence
 
-from eelgrass_coordination import Mark
+from eelgrass_coordination import GossipItem
 
 from .backends import Backend, Backends, ServerLife
 from .crash_news import CrashNews
@@ -30,7 +30,7 @@
         self,
         backends: Backends,
         listening_at: Callable[[str], Awaitable[Listening]],
-        announce: Callable[[Sequence[Mark]], object],
+        announce: Callable[[Sequence[GossipItem]], object],
         clock: Callable[[], float],
         unix_ms: Callable[[], int],
         write: WriteRows,
--- a/packages/node/src/eelgrass_node/process/reach_checks.py
+++ b/packages/node/src/eelgrass_node/process/reach_checks.py
@@ -13,7 +13,7 @@
 import asyncio
 from collections.abc import Callable
 
-from eelgrass_coordination import Member, MemberState, awake_sleep
+from eelgrass_coordination import Member, MemberState, stall_aware_sleep
 
 from .reach import DataCentreReach
 
@@ -91,7 +91,7 @@
         self._answered.discard(data_centre)
         for member in probed:
             self._probe(member)
-        await awake_sleep(within_s)
+        await stall_aware_sleep(within_s)
         return data_centre in self._answered
 
     def _probed(self, data_centre: str) -> list[Member]:
--- a/packages/node/src/eelgrass_node/process/server_use.py
+++ b/packages/node/src/eelgrass_node/process/server_use.py
@@ -46,7 +46,7 @@
 
         Of a call that was given up, it is how long it took at least.
         """
-        self._slowness.note(ratio)
+        self._slowness.record(ratio)
         self._called_at = now
 
     def slowness(self, now: float) -> float:
--- a/packages/node/src/eelgrass_node/request/attempt.py
+++ b/packages/node/src/eelgrass_node/request/attempt.py
@@ -13,7 +13,7 @@
 import aiohttp
 import msgspec
 
-from eelgrass_coordination import AwakeTimeout, sending_s
+from eelgrass_coordination import StallAwareTimeout, send_allowance_s
 from eelgrass_coordination.ids import AttemptId, new_id
 
 from ..process.backends import Backend
@@ -144,11 +144,11 @@
 async def _first_byte(
     attempt: Attempt, context: Any, sent_bytes: int
 ) -> aiohttp.ClientResponse:
-    bound_s = attempt.silence_s + sending_s(sent_bytes)
+    bound_s = attempt.silence_s + send_allowance_s(sent_bytes)
     # What is added ends with the deadline, after which nobody waits for an answer.
     latest_s = max(attempt.silence_s, attempt.request.remaining())
     try:
-        async with AwakeTimeout(min(bound_s, latest_s)):
+        async with StallAwareTimeout(min(bound_s, latest_s)):
             return await context
     except TimeoutError as error:
         if isinstance(error, aiohttp.ConnectionTimeoutError):
@@ -202,7 +202,7 @@
     latest = now() + max(attempt.silence_s, attempt.request.remaining())
     parts: list[bytes] = []
     try:
-        async with AwakeTimeout(attempt.silence_s) as bound:
+        async with StallAwareTimeout(attempt.silence_s) as bound:
             async for part in response.content.iter_any():
                 parts.append(part)
                 bound.restart(min(attempt.silence_s, latest - now()))
--- a/packages/node/src/eelgrass_node/request/exchange.py
+++ b/packages/node/src/eelgrass_node/request/exchange.py
@@ -11,7 +11,7 @@
 import aiohttp
 import msgspec
 
-from eelgrass_coordination import AwakeTimeout, sending_s
+from eelgrass_coordination import StallAwareTimeout, send_allowance_s
 
 from ..exceptions import CallFailed
 from ..process.backends import Backend
@@ -96,7 +96,7 @@
         Raises :class:`CallFailed` where it breaks off or falls silent.
         """
         try:
-            async with AwakeTimeout(self._before_deadline(within_s)):
+            async with StallAwareTimeout(self._before_deadline(within_s)):
                 data = await self._response.content.readany()
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise failure_of(error) from error
@@ -145,9 +145,9 @@
             reuse=routed.route.repeatable,
             on_sent=self._on_sent,
         )
-        bound_s = self._silence_s + sending_s(len(arrival.body))
+        bound_s = self._silence_s + send_allowance_s(len(arrival.body))
         try:
-            async with AwakeTimeout(self._before_deadline(bound_s)):
+            async with StallAwareTimeout(self._before_deadline(bound_s)):
                 return await context
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             raise failure_of(error) from error
--- a/packages/node/src/eelgrass_node/request/final_times.py
+++ b/packages/node/src/eelgrass_node/request/final_times.py
@@ -34,9 +34,9 @@
         average = self._average_by_route.get(route)
         if average is None:
             average = MovingAverage(UNKNOWN_S, WEIGHT)
-            average.note(UNKNOWN_S)
+            average.record(UNKNOWN_S)
             self._average_by_route[route] = average
-        average.note(took_s)
+        average.record(took_s)
 
     def expected_s(self, route: str) -> float:
         """Return the time to keep for a request of a route after its stages."""
--- a/packages/node/src/eelgrass_node/request/generation.py
+++ b/packages/node/src/eelgrass_node/request/generation.py
@@ -9,7 +9,7 @@
 import aiohttp
 import msgspec
 
-from eelgrass_coordination import AwakeTimeout, MovingAverage, awake_time
+from eelgrass_coordination import MovingAverage, StallAwareTimeout, running_time
 
 from ..exceptions import CallerGone
 from ..version import Stage
@@ -78,7 +78,7 @@
     async def run(self, attempt: Attempt, stage_input: Any) -> AttemptResult:
         """Make one attempt, which goes on after the pieces already taken."""
         body = _generate_body(attempt, stage_input, len(self.pieces))
-        self._sent_at = awake_time()
+        self._sent_at = running_time()
         try:
             result = await guarded(attempt, "/v1/generate", body, self._read)
         except BaseException:
@@ -111,8 +111,8 @@
                 self._note_pace(taken)
                 return _final_result(line, taken, self.text, len(self.pieces))
             if line.seq == 0:
-                self._first_piece_at = awake_time()
-                self._first_average.note(self._first_piece_at - self._sent_at)
+                self._first_piece_at = running_time()
+                self._first_average.record(self._first_piece_at - self._sent_at)
             if not await self._take(attempt, line, first, ahead):
                 return unknown(RetryReason.BAD_ANSWER)
 
@@ -127,15 +127,15 @@
 
     def _note_pace(self, taken: int) -> None:
         if taken > 1:
-            took_s = awake_time() - self._first_piece_at
-            self._between_average.note(took_s / (taken - 1))
+            took_s = running_time() - self._first_piece_at
+            self._between_average.record(took_s / (taken - 1))
 
     async def _next_line(
         self, attempt: Attempt, response: aiohttp.ClientResponse
     ) -> _Line | None:
         try:
             bound_s = min(self._between_s, max(0.0, attempt.request.remaining()))
-            async with AwakeTimeout(bound_s):
+            async with StallAwareTimeout(bound_s):
                 raw = await response.content.readline()
         except TimeoutError as error:
             if attempt.request.remaining() > 0:
@@ -178,7 +178,7 @@
     connections = attempt.backend.connections
     connections.enter()
     try:
-        async with AwakeTimeout(within_s):
+        async with StallAwareTimeout(within_s):
             context = connections.post(
                 "/v1/cancel", body, attempt.attempt_id, within_s, reuse=False
             )
--- a/packages/node/src/eelgrass_node/request/routed.py
+++ b/packages/node/src/eelgrass_node/request/routed.py
@@ -11,7 +11,7 @@
 
 from aiohttp import web
 
-from eelgrass_coordination import awake_time, deadline_timeout
+from eelgrass_coordination import deadline_timeout, running_time
 
 from ..exceptions import (
     CallerGone,
@@ -126,7 +126,7 @@
         if hopeless_s is not None:
             raise RequestRefused("the stages have no room in time", hopeless_s)
         inputs = await self._run_stages()
-        self._staged_at, self._staged_awake = _now(), awake_time()
+        self._staged_at, self._staged_awake = _now(), running_time()
         if self._routed.route.stages:
             self._parts.metrics.note_stages(self._routed.route.name, self._age_s())
         while True:
@@ -216,13 +216,13 @@
             self._release_when_fetched,
             self._copy_from(backend),
         )
-        began, began_awake = _now(), awake_time()
+        began, began_awake = _now(), running_time()
         try:
             head = await call.open(self._events.last_id)
             self._step = Step.ANSWER
             self._headed_at = _now()
             if routed.route.stages:
-                took_s = awake_time() - self._staged_awake
+                took_s = running_time() - self._staged_awake
                 self._parts.final_times.note(routed.route.name, took_s)
             self._parts.reach.note_answer(backend.entry.data_centre)
             if head.load is not None:
@@ -236,7 +236,7 @@
         if head.status >= SERVER_ERROR and routed.route.repeatable:
             self._last_reply = reply
             raise CallFailed(RetryReason.BACKEND_ERROR, not_run=False)
-        backend.note_call(awake_time() - began_awake)
+        backend.note_call(running_time() - began_awake)
         backend.note_taken(_now() - began)
         self._log_answered(backend, head)
         return self._answer.whole(reply)
--- a/packages/node/src/eelgrass_node/request/stages.py
+++ b/packages/node/src/eelgrass_node/request/stages.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from eelgrass_coordination import RetryBudget, awake_time
+from eelgrass_coordination import RetryBudget, running_time
 
 from ..exceptions import Refused
 from ..process.backends import Backend
@@ -72,7 +72,7 @@
 
     async def run(self, stage_input: Any) -> StageResult:
         """Run the stage to its whole result; raises :class:`Refused`."""
-        self._environment.budget.note_request()
+        self._environment.budget.record_request()
         while True:
             backend = await self._acquire()
             try:
@@ -119,7 +119,7 @@
         if self._request.remaining() <= 0:
             raise Refused(RefusalReason.DEADLINE_PASSED, self._outcome())
         attempt = self._new_attempt(backend)
-        started = awake_time()
+        started = running_time()
         was_dispatched = self.dispatched
         self.dispatched = True
         try:
@@ -131,7 +131,7 @@
             raise
         if result.outcome is AttemptOutcome.NOT_RUN:
             self.dispatched = was_dispatched
-        self._note(backend, result, awake_time() - started)
+        self._note(backend, result, running_time() - started)
         return result
 
     async def _run_attempt(self, attempt: Attempt, stage_input: Any) -> AttemptResult:
@@ -177,7 +177,7 @@
             cost.wasted_ms += result.cost_ms
         if result.outcome is not AttemptOutcome.NOT_RUN:
             backend.note_call(took_s)
-            self._queue.held_s.note(took_s)
+            self._queue.held_s.record(took_s)
 
     def _check_retry(self, result: AttemptResult) -> None:
         reason = result.reason or RetryReason.BAD_ANSWER
--- a/packages/node/tests/test_account_shares.py
+++ b/packages/node/tests/test_account_shares.py
@@ -15,8 +15,8 @@
 from eelgrass_node.process.pieces import Piece
 from eelgrass_node.process.queue_load import QueueLoad
 from eelgrass_node.version.deployment import PieceLimits
-from support.instant_loop import run_instantly
 from support.pieces import Service, now, pieces, server
+from support.simulated_time import run_in_simulated_time
 
 # The first stage of the users' largest kind of request.
 LIMITS = PieceLimits(
@@ -95,7 +95,7 @@
         await day.run(sets_per_s_by_account)
         return day
 
-    return run_instantly(main())
+    return run_in_simulated_time(main())
 
 
 class TestFlood:
--- a/packages/node/tests/test_deployments.py
+++ b/packages/node/tests/test_deployments.py
@@ -4,7 +4,7 @@
 
 from eelgrass_node.process.deployments import AWAITED_S, DeploymentInForce
 from eelgrass_node.version.deployment import CallerLimits, Deployment
-from support.instant_loop import run_instantly
+from support.simulated_time import run_in_simulated_time
 
 
 def deployments():
@@ -25,7 +25,7 @@
             found.take(b"51", "store")
             return [*states, found.superseded]
 
-        assert run_instantly(main()) == [False, True, False]
+        assert run_in_simulated_time(main()) == [False, True, False]
 
     def test_a_node_that_is_behind_as_well_changes_nothing(self):
         """It told of a number in between, and the newest one was forgotten with it."""
@@ -38,7 +38,7 @@
             found.take(b"44", "node")
             return found.superseded
 
-        assert run_instantly(main())
+        assert run_in_simulated_time(main())
 
     def test_one_that_never_comes_is_not_awaited_for_ever(self):
         """A newer release may have accepted what this one cannot read.
@@ -57,7 +57,7 @@
             found.hear(52)
             return gone, found.superseded
 
-        assert run_instantly(main()) == (False, True)
+        assert run_in_simulated_time(main()) == (False, True)
 
     def test_a_number_that_never_comes_does_not_hide_the_next_ones(self):
         """A faulty node told of it; the numbers of others are lower."""
@@ -73,7 +73,7 @@
             found.take(b"43", "store")
             return [*states, found.superseded]
 
-        assert run_instantly(main()) == [True, False]
+        assert run_in_simulated_time(main()) == [True, False]
 
     def test_one_that_never_comes_is_not_awaited_again_each_time_it_is_told(self):
         """Others tell its number each second for as long as they have it."""
@@ -88,7 +88,7 @@
                 await asyncio.sleep(1.0)
             return states[int(AWAITED_S) + 1 :]
 
-        assert not any(run_instantly(main()))
+        assert not any(run_in_simulated_time(main()))
 
     def test_two_that_never_come_are_not_awaited_in_turn(self):
         """Two nodes of a newer release have different ones, and both tell theirs."""
@@ -103,4 +103,4 @@
                 await asyncio.sleep(1.0)
             return states[2 * int(AWAITED_S) + 4 :]
 
-        assert not any(run_instantly(main()))
+        assert not any(run_in_simulated_time(main()))
--- a/packages/node/tests/test_dispatch.py
+++ b/packages/node/tests/test_dispatch.py
@@ -23,7 +23,7 @@
     )
     choose = choice_function(Choice.LEAST_OF_TWO, seed=1)
     queue = ServiceQueue("desk", backends, choose, order_function(order), sheds)
-    queue.held_s.note(0.1)
+    queue.held_s.record(0.1)
     return queue
 
 
--- a/packages/node/tests/test_evacuations.py
+++ b/packages/node/tests/test_evacuations.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from eelgrass_coordination import Mark
+from eelgrass_coordination import GossipItem
 from eelgrass_coordination.ids import BackendId, DataCentre
 from eelgrass_node.process.backends import Backends, HostEntry
 from eelgrass_node.process.places import EvacuationNews, Evacuations, Places
@@ -13,7 +13,7 @@
 from eelgrass_node.process.store_tables import StoredRow
 from support.clock import Clock
 from support.evacuated import PREFIX
-from support.instant_loop import run_instantly
+from support.simulated_time import run_in_simulated_time
 
 NORTH = DataCentre("north")
 SOUTH = DataCentre("south")
@@ -113,7 +113,7 @@
             await asyncio.sleep(TOLD_S + 0.1)
             assert not place.covers()
 
-        run_instantly(main())
+        run_in_simulated_time(main())
 
     async def test_it_yields_to_a_newer_row(self, place):
         place.evacuations.hear(NORTH, 5, True)
@@ -127,9 +127,9 @@
 
     async def test_a_mark_that_makes_no_sense_is_left_alone(self, place):
         news = EvacuationNews(place.evacuations, lambda mark: None)
-        news.hear(Mark("evacuation", "", 5))
-        news.hear(Mark("evacuation", NORTH, -3))
-        news.hear(Mark("failing", NORTH, 11))
+        news.hear(GossipItem("evacuation", "", 5))
+        news.hear(GossipItem("evacuation", NORTH, -3))
+        news.hear(GossipItem("failing", NORTH, 11))
         assert not place.evacuations.since_by_data_centre
 
     async def test_what_one_node_tells_another_hears(self, place):
--- a/packages/node/tests/test_failing_servers.py
+++ b/packages/node/tests/test_failing_servers.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from eelgrass_coordination import Mark
+from eelgrass_coordination import GossipItem
 from eelgrass_coordination.ids import BackendId, DataCentre
 from eelgrass_node.process import backends as backends_module
 from eelgrass_node.process.backends import Backends, HostEntry
@@ -117,13 +117,16 @@
         entry = HostEntry(BackendId("grey"), "readers", "g:1", place, started=500)
         nodes.backends[0].update([entry])
         grey = nodes.backends[0].by_id["grey"]
-        nodes.failing[0].hear(Mark(MARK_KIND, "grey", 499))
+        nodes.failing[0].hear(GossipItem(MARK_KIND, "grey", 499))
         assert grey.suspect_until == 0.0
-        nodes.failing[0].hear(Mark(MARK_KIND, "grey", 501))
+        nodes.failing[0].hear(GossipItem(MARK_KIND, "grey", 501))
         assert grey.suspect_until > now()
 
     async def test_marks_of_other_kinds_and_unknown_servers_are_nothing(self):
         nodes = Nodes(1)
-        for mark in (Mark("leaving", "grey", 1), Mark(MARK_KIND, "unknown", 2)):
+        for mark in (
+            GossipItem("leaving", "grey", 1),
+            GossipItem(MARK_KIND, "unknown", 2),
+        ):
             nodes.failing[0].hear(mark)
         assert nodes.backends[0].by_id["grey"].suspect_until == 0.0
--- a/packages/node/tests/test_freed_results.py
+++ b/packages/node/tests/test_freed_results.py
@@ -9,8 +9,8 @@
 from eelgrass_node.exceptions import PeerUnreachable
 from eelgrass_node.process.freed_results import OWNER_ANSWERS_S, FreedResults
 from eelgrass_node.version.deployment import ServiceName
-from support.instant_loop import run_instantly
 from support.members import member
+from support.simulated_time import run_in_simulated_time
 
 SERVICE = ServiceName("portal")
 LIFE_S = 4.0
@@ -65,12 +65,12 @@
 
 class TestFreedResults:
     def test_an_owner_that_answers_frees_them(self):
-        owner = run_instantly(Owner(0.01).play())
+        owner = run_in_simulated_time(Owner(0.01).play())
         assert owner.freed_there == [["h"]] and not owner.freed_here
 
     # A queue whose owner stood still took its servers for full for seconds.
     def test_an_owner_that_stands_still_hears_of_it_when_it_goes_on(self):
-        owner = run_instantly(Owner(0.6).play())
+        owner = run_in_simulated_time(Owner(0.6).play())
         assert owner.freed_there == [["h"]]
         [(handles, at)] = owner.freed_here
         assert handles == ["h"] and at == pytest.approx(OWNER_ANSWERS_S)
@@ -78,19 +78,19 @@
 
     # Pieces that waited at a stopping node were late beside idle servers.
     def test_an_owner_that_leaves_still_counts_them(self):
-        owner = run_instantly(Owner(0.01, state=MemberState.LEFT).play())
+        owner = run_in_simulated_time(Owner(0.01, state=MemberState.LEFT).play())
         assert owner.freed_there == [["h"]]
 
     @pytest.mark.parametrize("state", [MemberState.ALIVE, MemberState.LEFT])
     def test_one_that_is_gone_is_done_without(self, state):
-        owner = run_instantly(Owner(refuses=True, state=state).play())
+        owner = run_in_simulated_time(Owner(refuses=True, state=state).play())
         assert [handles for handles, _ in owner.freed_here] == [["h"]]
 
     def test_a_dead_one_is_not_asked(self):
-        owner = run_instantly(Owner(state=MemberState.DEAD).play())
+        owner = run_in_simulated_time(Owner(state=MemberState.DEAD).play())
         assert owner.freed_here == [(["h"], 0.0)] and not owner.freed_there
 
     @pytest.mark.parametrize("named", [None, "n2"])
     def test_results_of_this_node_are_freed_here(self, named):
-        owner = run_instantly(Owner().play(named))
+        owner = run_in_simulated_time(Owner().play(named))
         assert owner.freed_here == [(["h"], 0.0)]
--- a/packages/node/tests/test_owner_checks.py
+++ b/packages/node/tests/test_owner_checks.py
@@ -6,8 +6,8 @@
 from eelgrass_node.process.owner_checks import PROBE_AGAIN_S, OwnerChecks
 from eelgrass_node.process.piece_owners import DISTRUST_S, PieceOwners
 from eelgrass_node.process.reach import DataCentreReach
-from support.instant_loop import run_instantly
 from support.members import member
+from support.simulated_time import run_in_simulated_time
 
 OWNER = member("n1", "a")
 
@@ -46,13 +46,13 @@
         async def play():
             return await Host(still_for_s=0.6).trusts_after_s()
 
-        assert run_instantly(play()) < 0.6 + PROBE_AGAIN_S
+        assert run_in_simulated_time(play()) < 0.6 + PROBE_AGAIN_S
 
     def test_one_that_stays_away_is_tried_again_after_the_usual_time(self):
         async def play():
             host = Host(still_for_s=60.0)
             return await host.trusts_after_s(), host.probes
 
-        took_s, probes = run_instantly(play())
+        took_s, probes = run_in_simulated_time(play())
         assert DISTRUST_S <= took_s < DISTRUST_S + 0.1
         assert probes <= DISTRUST_S / PROBE_AGAIN_S + 1
--- a/packages/node/tests/test_peer_catch_up.py
+++ b/packages/node/tests/test_peer_catch_up.py
@@ -6,8 +6,8 @@
 
 from eelgrass_node.exceptions import PeerUnreachable
 from eelgrass_node.process.peer_catch_up import PeerCatchUp
-from support.instant_loop import run_instantly
 from support.members import member
+from support.simulated_time import run_in_simulated_time
 
 # Promised of a configuration that was confirmed.
 IN_FORCE_S = 2.0
@@ -50,7 +50,7 @@
 
     def test_one_that_told_of_it_is_asked(self):
         others = Others()
-        assert run_instantly(self.hear_from(others, "a")) < 0.6
+        assert run_in_simulated_time(self.hear_from(others, "a")) < 0.6
         assert others.asked == ["a:1"]
 
     @pytest.mark.parametrize("silent", ["a", "b", "c"])
@@ -61,7 +61,7 @@
         version once more added up to more than is promised.
         """
         others = Others(silent={f"{silent}:1"})
-        taken_at = run_instantly(self.hear_from(others, "a", "b", "c"))
+        taken_at = run_in_simulated_time(self.hear_from(others, "a", "b", "c"))
         assert taken_at < IN_FORCE_S
 
     def test_nobody_is_asked_while_it_comes(self):
@@ -82,7 +82,7 @@
             others.number = 2
             await asyncio.sleep(2.0)
 
-        run_instantly(hear())
+        run_in_simulated_time(hear())
         assert others.asked == []
 
     def test_one_that_does_not_come_to_its_end_is_asked_for(self):
@@ -104,12 +104,12 @@
                 await asyncio.sleep(0.01)
             loop_time.append(asyncio.get_running_loop().time())
 
-        run_instantly(hear())
+        run_in_simulated_time(hear())
         assert loop_time[0] <= 2 * 0.5 + SILENT_S + 0.1
 
     def test_all_that_told_of_it_are_asked(self):
         others = Others(silent={"a:1", "b:1"})
-        run_instantly(self.hear_from(others, "a", "b", "c", "b", "a"))
+        run_in_simulated_time(self.hear_from(others, "a", "b", "c", "b", "a"))
         assert sorted(others.asked) == ["a:1", "b:1", "c:1"]
         assert others.number == 2
 
@@ -122,5 +122,5 @@
             others.number = 2
             await asyncio.sleep(2.0)
 
-        run_instantly(hear())
+        run_in_simulated_time(hear())
         assert others.asked == []
--- a/packages/node/tests/test_piece_queue.py
+++ b/packages/node/tests/test_piece_queue.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from eelgrass_coordination import AwakeTimeout
+from eelgrass_coordination import StallAwareTimeout
 from eelgrass_coordination.ids import BackendId
 from eelgrass_node.process.backends import ServerLife
 from eelgrass_node.process.piece_queue import LATE_BACKLOG_S
 from eelgrass_node.process.pieces import PieceOutcome, PieceTrouble
-from support.instant_loop import run_instantly
 from support.pieces import LARGE, LIMITS, Service, now, pieces, server
+from support.simulated_time import run_in_simulated_time
 
 
 def all_of(trouble, given):
@@ -37,7 +37,7 @@
             )
             return now() - began
 
-        assert run_instantly(took_s()) < 1.9 * LIMITS.call_s
+        assert run_in_simulated_time(took_s()) < 1.9 * LIMITS.call_s
 
     async def test_urgent_pieces_go_first(self):
         service = Service(server("s1"))
@@ -101,7 +101,7 @@
     # A server was taken for slow, and callers refused, after a stall of the queue.
     async def test_a_stall_of_this_process_does_not_make_a_server_slow(self):
         async def stall(backend, given):
-            async with AwakeTimeout(5.0):
+            async with StallAwareTimeout(5.0):
                 asyncio.get_running_loop().call_soon(time.sleep, 0.5)
                 await asyncio.sleep(LIMITS.call_s)
             return [PieceOutcome(handle=f"{p.number}@a") for p in given]
--- a/packages/node/tests/test_quarantine.py
+++ b/packages/node/tests/test_quarantine.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from eelgrass_coordination import Mark
+from eelgrass_coordination import GossipItem
 from eelgrass_coordination.ids import BackendId
 from eelgrass_node.process import quarantine as quarantine_module
 from eelgrass_node.process.backends import ServerLife
@@ -208,7 +208,7 @@
     def test_marks_that_cannot_be_read_are_nothing(self, name):
         fleet = Fleet(1)
         for kind in (ENDED_KIND, SOUND_KIND, "failing"):
-            fleet.announce([Mark(kind, name, 1)])
+            fleet.announce([GossipItem(kind, name, 1)])
         assert len(fleet.quarantines[0]) == 0
 
 
--- a/packages/node/tests/test_store_return.py
+++ b/packages/node/tests/test_store_return.py
@@ -22,7 +22,7 @@
 
 import pytest
 
-from support.instant_loop import run_instantly
+from support.simulated_time import run_in_simulated_time
 from support.store_day import Outage, StoreDay
 
 # What is promised, after the later of the confirmation and the store's return.
@@ -51,7 +51,7 @@
 
     def test_the_others_have_the_change_in_time(self):
         random.seed(0)
-        late_s = run_instantly(self.incident())
+        late_s = run_in_simulated_time(self.incident())
         assert max(late_s.values()) <= IN_FORCE_S
 
 
@@ -115,7 +115,7 @@
         late = [
             (seed, *entry)
             for seed in range(SEEDS)
-            for entry in run_instantly(self.changes(seed))
+            for entry in run_in_simulated_time(self.changes(seed))
             if entry[-1] > IN_FORCE_S
         ]
         assert late == []
@@ -125,7 +125,7 @@
         late = [
             (seed, *entry)
             for seed in range(SEEDS)
-            for entry in run_instantly(self.changes(seed, count=6, most_hit=4))
+            for entry in run_in_simulated_time(self.changes(seed, count=6, most_hit=4))
             if entry[-1] > IN_FORCE_S
         ]
         assert late == []
@@ -147,4 +147,4 @@
     )
     def test_an_outage_of_all_costs_few(self, promised_s, refuses, most):
         random.seed(0)
-        assert run_instantly(self.calls_per_node(promised_s, refuses)) <= most
+        assert run_in_simulated_time(self.calls_per_node(promised_s, refuses)) <= most
--- a/packages/node/tests/test_table_relay.py
+++ b/packages/node/tests/test_table_relay.py
@@ -18,8 +18,8 @@
     relay_of,
 )
 from support.clock import Clock
-from support.instant_loop import run_instantly
 from support.members import member
+from support.simulated_time import run_in_simulated_time
 from support.store_day import Outage, StoreDay
 from support.store_rows import PROMISED_S, changes, followed_table, row
 
@@ -287,7 +287,7 @@
             return day.store.calls
 
         # Whole reads, and three a second of the relay of each table.
-        assert run_instantly(main()) <= 39 * 2 + 3 * 3 * 2
+        assert run_in_simulated_time(main()) <= 39 * 2 + 3 * 3 * 2
 
     def test_a_change_just_after_the_first_read_is_in_force_in_time(self):
         async def main():
@@ -300,7 +300,7 @@
             await running
             return [day.taken_at[m.id, number] - changed_at for m in day.members]
 
-        assert max(run_instantly(main())) <= PROMISED_S
+        assert max(run_in_simulated_time(main())) <= PROMISED_S
 
 
 class TestTurnedAwayRelay:
@@ -315,7 +315,7 @@
 
         # Once each as the relay is lost and the next has yet to read; the relays of
         # two tables at three calls a second; and the one turned away in its pace.
-        assert run_instantly(main()) <= 39 * 2 + 9 * 3 * 2 + 25
+        assert run_in_simulated_time(main()) <= 39 * 2 + 9 * 3 * 2 + 25
 
 
 class TestRelay:
--- a/packages/node/tests/test_version_paths.py
+++ b/packages/node/tests/test_version_paths.py
@@ -33,7 +33,7 @@
 from eelgrass_node.process.follow_pace import FollowPace
 from eelgrass_node.process.store_tables import FollowedTable
 from eelgrass_node.process.table_relay import RelayedReader
-from support.instant_loop import run_instantly
+from support.simulated_time import run_in_simulated_time
 from support.store_day import Outage
 from support.version_day import VersionDay
 from support.version_plan import Change, Freeze, Plan, Stale
@@ -66,7 +66,7 @@
 
 
 def played(plan):
-    return run_instantly(VersionDay(plan).run())
+    return run_in_simulated_time(VersionDay(plan).run())
 
 
 def broken_with_any_seed(plan, judge=broken_promises):
--- a/tests/support/datagram_network.py
+++ b/tests/support/datagram_network.py
@@ -9,7 +9,7 @@
 from collections.abc import Coroutine
 from typing import Any, TypeVar
 
-from .instant_loop import InstantLoop
+from .simulated_time import SimulatedTimeLoop
 
 __all__ = ["DatagramLoop", "run_network"]
 
@@ -19,7 +19,7 @@
 DELAY_S = 0.0009
 
 
-class DatagramLoop(InstantLoop):
+class DatagramLoop(SimulatedTimeLoop):
     """A loop whose datagram sockets are connected by a simulated network.
 
     ``loss`` is the share of datagrams that are lost. ``sent`` counts datagrams and
--- a/tests/support/instant_loop.py
+++ b/tests/support/simulated_time.py
@@ -4,12 +4,12 @@
 from collections.abc import Coroutine
 from typing import Any, TypeVar
 
-__all__ = ["run_instantly"]
+__all__ = ["run_in_simulated_time"]
 
 T = TypeVar("T")
 
 
-class InstantLoop(asyncio.SelectorEventLoop):
+class SimulatedTimeLoop(asyncio.SelectorEventLoop):
     """Runs minutes of timers in an instant; for work without sockets."""
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         super()._run_once()
 
 
-def run_instantly(main: Coroutine[Any, Any, T]) -> T:
+def run_in_simulated_time(main: Coroutine[Any, Any, T]) -> T:
     """Run ``main`` to its end in simulated time."""
-    with asyncio.Runner(loop_factory=InstantLoop) as runner:
+    with asyncio.Runner(loop_factory=SimulatedTimeLoop) as runner:
         return runner.run(main)
--- a/tests/test_configuration_in_force.py
+++ b/tests/test_configuration_in_force.py
@@ -96,7 +96,7 @@
         newest = sync.follower.revision
         member = deployment.nodes[2].membership.own
         sync.heard(1, member, 0.0)
-        sync.advance(list(sync.follower.recent)[:1])
+        sync.advance(list(sync.follower.recent_changes)[:1])
         assert sync.follower.revision == newest
 
     async def test_a_node_starts_alone_from_a_snapshot_and_the_changes_since(
@@ -114,7 +114,7 @@
         node = await alone.start_node(0)
         try:
             assert node.configuration.follower.revision == newest
-            replayed = [c.revision for c in node.configuration.follower.recent]
+            replayed = [c.revision for c in node.configuration.follower.recent_changes]
             assert replayed == [newest]
         finally:
             await node.close()
