--- a/benchmarks/piece_queue.py
+++ b/benchmarks/piece_queue.py
@@ -15,32 +15,32 @@
 from eelgrass_coordination.ids import BackendId, DataCentre
 from eelgrass_node.connection.listening import listening_at
 from eelgrass_node.process.backends import Backends, HostEntry
-from eelgrass_node.process.piece_service import LocalPieces
-from eelgrass_node.process.pieces import Piece, PieceOutcome
+from eelgrass_node.process.batch_items import BatchItem, ItemOutcome
+from eelgrass_node.process.local_queues import LocalQueues
 from eelgrass_node.process.poison_requests import PoisonRequests
 from eelgrass_node.process.reach import DataCentreReach
 from eelgrass_node.process.retry_budget import RetryBudgets
 from eelgrass_node.version.deployment import (
+    BatchLimits,
     CallerLimits,
     Deployment,
-    PieceLimits,
     Service,
     ServiceName,
 )
 
 SERVICE = ServiceName("archive")
-LIMITS = PieceLimits(
+LIMITS = BatchLimits(
     slots=1,
     queue=2,
     batch=69,
     call_s=0.15,
-    piece_s=0.0018,
+    item_s=0.0018,
     memory_bytes=1.2e6,
     result_life_s=4.0,
 )
 SERVERS = 8
 OTHER_SERVERS = 132
-PIECES = 16
+ITEMS = 16
 INPUTS = 8
 RESULT_BYTES = 6000
 WAITING_SETS = (4, 20, 60)
@@ -62,14 +62,14 @@
     ]
 
 
-def new_set(number: int, now: float) -> list[Piece]:
+def new_set(number: int, now: float) -> list[BatchItem]:
     """Return the pieces of one stage of one request."""
     inputs = tuple(f"10.1.1.{n}:8080/{number:x}{n:x}" for n in range(INPUTS))
     return [
-        Piece(
+        BatchItem(
             request_id=f"{number:016x}",
             stage=2,
-            number=piece,
+            number=item,
             key=None,
             inputs=inputs,
             deadline=now + 4.0,
@@ -77,15 +77,17 @@
             priority=1,
             result_bytes=RESULT_BYTES,
         )
-        for piece in range(PIECES)
+        for item in range(ITEMS)
     ]
 
 
-async def run_call(server, pieces: list[Piece], within_s: float) -> list[PieceOutcome]:
+async def run_call(
+    server, items: list[BatchItem], within_s: float
+) -> list[ItemOutcome]:
     """Answer as a server of the stage does, after the time of the call."""
-    await asyncio.sleep(LIMITS.call_s + LIMITS.piece_s * len(pieces))
-    handles = (f"{server.entry.address}/{p.request_id}{p.number:x}" for p in pieces)
-    return [PieceOutcome(handle=handle) for handle in handles]
+    await asyncio.sleep(LIMITS.call_s + LIMITS.item_s * len(items))
+    handles = (f"{server.entry.address}/{p.request_id}{p.number:x}" for p in items)
+    return [ItemOutcome(handle=handle) for handle in handles]
 
 
 async def free_call(server, handles: list[str]) -> bool:
@@ -98,7 +100,7 @@
     loop = asyncio.get_running_loop()
     backends = Backends()
     backends.update(listed_servers())
-    service = Service(name=SERVICE, max_connections=800, pieces=LIMITS)
+    service = Service(name=SERVICE, max_connections=800, batch_limits=LIMITS)
     deployment = Deployment(
         number=1,
         routes_by_host={},
@@ -109,7 +111,7 @@
     )
     retries = RetryBudgets(0.2, 200.0, 10.0, loop.time)
     retries.sharing_nodes = 1
-    local = LocalPieces(
+    local = LocalQueues(
         backends,
         lambda: deployment,
         retries,
@@ -152,7 +154,7 @@
     for waiting_sets in WAITING_SETS:
         done, spent_s = asyncio.run(measure(waiting_sets))
         print(
-            f"{waiting_sets * PIECES:5d} pieces waiting: {done} sets, "
+            f"{waiting_sets * ITEMS:5d} pieces waiting: {done} sets, "
             f"{spent_s / done * 1000:.2f} ms each"
         )
 
--- a/packages/node/src/eelgrass_node/connection/piece_calls.py
+++ b/packages/node/src/eelgrass_node/connection/batch_calls.py
@@ -9,11 +9,11 @@
 
 from eelgrass_coordination import StallAwareTimeout
 
-from ..exceptions import PieceAnswerMalformed
+from ..exceptions import BatchAnswerMalformed
 from ..process.backends import Backend
-from ..process.pieces import Piece, PieceOutcome, PieceTrouble
+from ..process.batch_items import BatchItem, ItemFailure, ItemOutcome
 
-__all__ = ["PieceCalls", "PieceCodec"]
+__all__ = ["BatchCalls", "BatchCodec"]
 
 CONNECT_S = 0.3
 FREE_TIMEOUT_S = 1.0
@@ -22,16 +22,16 @@
 HTTP_UNAVAILABLE = 503
 
 
-class PieceCodec(Protocol):
+class BatchCodec(Protocol):
     """What the adapter does for calls of pieces."""
 
     RUN_PATH: str
     FREE_PATH: str
 
-    def encode_pieces(self, pieces: list[Piece], now: float) -> bytes:
+    def encode_items(self, items: list[BatchItem], now: float) -> bytes:
         """Return the body of a call that runs pieces."""
 
-    def decode_outcomes(self, body: bytes, count: int) -> list[PieceOutcome]:
+    def decode_outcomes(self, body: bytes, count: int) -> list[ItemOutcome]:
         """Decode the answer; raises :class:`PieceAnswerMalformed`."""
 
     def encode_free(self, handles: list[str]) -> bytes:
@@ -41,40 +41,40 @@
         """Return the headers of a call that only this server may take."""
 
 
-class PieceCalls:
+class BatchCalls:
     """Makes the calls; ``on_replaced`` is told where another server answers."""
 
     def __init__(
-        self, codec: PieceCodec, on_replaced: Callable[[Backend], None]
+        self, codec: BatchCodec, on_replaced: Callable[[Backend], None]
     ) -> None:
         self._codec = codec
         self._on_replaced = on_replaced
 
     async def run(
-        self, backend: Backend, pieces: list[Piece], within_s: float
-    ) -> list[PieceOutcome]:
+        self, backend: Backend, items: list[BatchItem], within_s: float
+    ) -> list[ItemOutcome]:
         """Run pieces; a call that fails gives each of them a trouble."""
         now = asyncio.get_running_loop().time()
-        body = self._codec.encode_pieces(pieces, now)
+        body = self._codec.encode_items(items, now)
         try:
             async with StallAwareTimeout(within_s):
                 status, answer = await self._post(backend, self._codec.RUN_PATH, body)
             if status == HTTP_OK:
-                return self._codec.decode_outcomes(answer, len(pieces))
+                return self._codec.decode_outcomes(answer, len(items))
         except TimeoutError:
             # Other connections there may be as dead as this one.
             backend.connections.replace()
-            return _all(pieces, PieceTrouble.SILENT)
-        except (aiohttp.ClientConnectorError, ValueError, PieceAnswerMalformed):
-            return _all(pieces, PieceTrouble.UNREACHED)
+            return _all(items, ItemFailure.TIMED_OUT)
+        except (aiohttp.ClientConnectorError, ValueError, BatchAnswerMalformed):
+            return _all(items, ItemFailure.UNREACHABLE)
         except (aiohttp.ClientError, OSError):
-            return _all(pieces, PieceTrouble.LOST)
+            return _all(items, ItemFailure.LOST)
         if status == HTTP_MISDIRECTED:
             self._on_replaced(backend)
-            return _all(pieces, PieceTrouble.UNREACHED)
+            return _all(items, ItemFailure.UNREACHABLE)
         if status == HTTP_UNAVAILABLE:
-            return _all(pieces, PieceTrouble.NO_ROOM)
-        return _all(pieces, PieceTrouble.FAILED)
+            return _all(items, ItemFailure.NO_ROOM)
+        return _all(items, ItemFailure.FAILED)
 
     async def free(self, backend: Backend, handles: list[str]) -> bool:
         """Free results; returns whether the server took it.
@@ -106,5 +106,5 @@
             connections.leave()
 
 
-def _all(pieces: list[Piece], trouble: PieceTrouble) -> list[PieceOutcome]:
-    return [PieceOutcome(trouble=trouble)] * len(pieces)
+def _all(items: list[BatchItem], failure: ItemFailure) -> list[ItemOutcome]:
+    return [ItemOutcome(failure=failure)] * len(items)
--- a/packages/node/src/eelgrass_node/connection/piece_handoff.py
+++ b/packages/node/src/eelgrass_node/connection/batch_handoff.py
@@ -16,15 +16,15 @@
 
 from ..exceptions import PeerUnreachable
 from ..process.backends import ServerLife
+from ..process.batch_items import BatchItem, ItemOutcome
 from ..process.ended_servers import Fingerprint
-from ..process.pieces import Piece, PieceOutcome
 from ..process.queue_load import QueueLoad
 from ..version.deployment import ServiceName
 from .sockets import new_session
 
 __all__ = ["HandoffClient", "HandoffInterface"]
 
-PIECES_PATH = "/peer/v1/pieces"
+ITEMS_PATH = "/peer/v1/pieces"
 FREE_PATH = "/peer/v1/results/free"
 CONNECT_S = 0.15
 # Two ways between data centres take 3 ms, and a busy node some 10 ms more.
@@ -37,7 +37,7 @@
 BEAT = b"\n"
 UNKNOWN_SERVICE = 503
 
-RunPieces = Callable[[ServiceName, list[Piece]], Awaitable[list[PieceOutcome]]]
+RunItems = Callable[[ServiceName, list[BatchItem]], Awaitable[list[ItemOutcome]]]
 
 
 class _SentSet(msgspec.Struct, omit_defaults=True):
@@ -69,7 +69,7 @@
 
 
 class _Done(msgspec.Struct):
-    outcomes: list[PieceOutcome]
+    outcomes: list[ItemOutcome]
     load: QueueLoad
 
 
@@ -84,23 +84,23 @@
     ``hear_load`` is told the load of a queue with each answer of its owner.
     """
 
-    def __init__(self, hear_load: Callable[[ServiceName, QueueLoad], None]) -> None:
-        self._hear_load = hear_load
+    def __init__(self, on_load: Callable[[ServiceName, QueueLoad], None]) -> None:
+        self._on_load = on_load
         self._session = new_session(KEEP_ALIVE_S, CONNECT_S)
 
     async def run(
-        self, address: str, service: ServiceName, pieces: list[Piece]
-    ) -> list[PieceOutcome]:
+        self, address: str, service: ServiceName, items: list[BatchItem]
+    ) -> list[ItemOutcome]:
         """Have pieces of one stage of a request run by another node.
 
         Raises :class:`PeerUnreachable`.
         """
         now = asyncio.get_running_loop().time()
-        body = msgspec.json.encode(_Handoff(service, _sent(pieces, now)))
+        body = msgspec.json.encode(_Handoff(service, _sent(items, now)))
         try:
             async with StallAwareTimeout(ACCEPT_S) as bound:
                 async with self._session.post(
-                    f"http://{address}{PIECES_PATH}", data=body, allow_redirects=False
+                    f"http://{address}{ITEMS_PATH}", data=body, allow_redirects=False
                 ) as response:
                     line = BEAT
                     while line == BEAT:
@@ -109,9 +109,9 @@
             done = msgspec.json.decode(line, type=_Done)
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError) as e:
             raise _unreachable(address, e) from e
-        if len(done.outcomes) != len(pieces):
+        if len(done.outcomes) != len(items):
             raise PeerUnreachable(address, "outcomes do not fit the pieces")
-        self._hear_load(service, done.load)
+        self._on_load(service, done.load)
         return done.outcomes
 
     async def free(
@@ -148,27 +148,27 @@
 
     def __init__(
         self,
-        run: RunPieces,
-        knows: Callable[[ServiceName], bool],
+        run: RunItems,
+        has_servers: Callable[[ServiceName], bool],
         load: Callable[[ServiceName], QueueLoad],
         free: Callable[[ServiceName, list[str]], None],
     ) -> None:
         self._run = run
-        self._knows = knows
+        self._has_servers = has_servers
         self._load = load
         self._free = free
         self._decoder = msgspec.json.Decoder(_Handoff)
 
-    async def handle_pieces(self, request: web.Request) -> web.StreamResponse:
+    async def handle_items(self, request: web.Request) -> web.StreamResponse:
         """Answer ``POST /peer/v1/pieces``: beats, then the outcomes."""
         handoff = self._decoder.decode(await request.read())
         now = asyncio.get_running_loop().time()
-        pieces = _received(handoff.pieces, now)
-        if not self._knows(handoff.service):
+        items = _received(handoff.pieces, now)
+        if not self._has_servers(handoff.service):
             return web.Response(status=UNKNOWN_SERVICE)
         response = web.StreamResponse()
         await response.prepare(request)
-        running = asyncio.ensure_future(self._run(handoff.service, pieces))
+        running = asyncio.ensure_future(self._run(handoff.service, items))
         try:
             while not running.done():
                 await response.write(BEAT)
@@ -182,7 +182,7 @@
         return response
 
     def _give_up(
-        self, service: ServiceName, running: asyncio.Future[list[PieceOutcome]]
+        self, service: ServiceName, running: asyncio.Future[list[ItemOutcome]]
     ) -> None:
         """End a run whose node has gone, or free the results that it did not get."""
         if not running.done():
@@ -199,7 +199,7 @@
 
     def add_routes(self, app: web.Application) -> None:
         """Add the routes for other nodes."""
-        app.router.add_post(PIECES_PATH, self.handle_pieces)
+        app.router.add_post(ITEMS_PATH, self.handle_items)
         app.router.add_post(FREE_PATH, self.handle_free)
 
 
@@ -208,29 +208,29 @@
     return PeerUnreachable(address, repr(error), silent)
 
 
-def _sent(pieces: list[Piece], now: float) -> _SentSet:
-    first = pieces[0]
+def _sent(items: list[BatchItem], now: float) -> _SentSet:
+    first = items[0]
     return _SentSet(
         request_id=first.request_id,
         stage=first.stage,
-        numbers=[piece.number for piece in pieces],
+        numbers=[item.number for item in items],
         deadline_in_s=first.deadline - now,
         due_in_s=first.due - now,
         priority=first.priority,
         result_bytes=first.result_bytes,
         key=first.key,
         inputs=first.inputs,
-        near=first.near,
-        makers=first.makers,
+        near=first.preferred_data_centre,
+        makers=first.producers,
         account=first.account,
-        request=first.request,
+        request=first.fingerprint,
         regions=first.regions,
     )
 
 
-def _received(sent: _SentSet, now: float) -> list[Piece]:
+def _received(sent: _SentSet, now: float) -> list[BatchItem]:
     return [
-        Piece(
+        BatchItem(
             request_id=sent.request_id,
             stage=sent.stage,
             number=number,
@@ -240,10 +240,10 @@
             due=now + sent.due_in_s,
             priority=sent.priority,
             result_bytes=sent.result_bytes,
-            near=sent.near,
-            makers=sent.makers,
+            preferred_data_centre=sent.near,
+            producers=sent.makers,
             account=sent.account,
-            request=sent.request,
+            fingerprint=sent.request,
             regions=sent.regions,
         )
         for number in sent.numbers
--- a/packages/node/src/eelgrass_node/connection/callers.py
+++ b/packages/node/src/eelgrass_node/connection/callers.py
@@ -137,7 +137,7 @@
         self, call: CallerRequest, emit: Emit | None
     ) -> Callable[[], Awaitable[Any]]:
         async def execute() -> Any:
-            note_cost = self._ledger.note
+            note_cost = self._ledger.record
             result = await run_pipeline(self._environment, call, emit, note_cost)
             return msgspec.to_builtins(Answer.of(call.request_id, result))
 
--- a/packages/node/src/eelgrass_node/entry_applications.py
+++ b/packages/node/src/eelgrass_node/entry_applications.py
@@ -4,8 +4,8 @@
 
 from aiohttp import web
 
+from .connection.batch_handoff import HandoffInterface
 from .connection.peer_state import PeerStateInterface
-from .connection.piece_handoff import HandoffInterface
 from .connection.table_feed import TableFeedInterface
 from .connection.warm_up_calls import WarmUpInterface
 
--- a/packages/node/src/eelgrass_node/entry_gauges.py
+++ b/packages/node/src/eelgrass_node/entry_gauges.py
@@ -72,7 +72,7 @@
         usable = len(node.backends.usable(service))
         yield Gauge("servers", "Servers listed.", len(servers), "service", service)
         yield Gauge("servers_usable", "Servers in use.", usable, "service", service)
-    for service, queue in node.pieces.by_service.items():
+    for service, queue in node.local_queues.by_service.items():
         yield Gauge(
             "pieces_waiting", "Pieces in the queue.", queue.waiting, "service", service
         )
--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -10,13 +10,13 @@
 from eelgrass_coordination.ids import Revision
 
 from .boot_clock import unix_ms
+from .connection.batch_calls import BatchCalls
+from .connection.batch_handoff import HandoffClient, HandoffInterface
 from .connection.caller_server import CallerServer
 from .connection.listeners import Listeners
 from .connection.listening import listening_at
 from .connection.peer_calls import PeerCalls
 from .connection.peer_state import STATE_CALL, PeerState
-from .connection.piece_calls import PieceCalls
-from .connection.piece_handoff import HandoffClient, HandoffInterface
 from .connection.sockets import new_session
 from .connection.table_feed import TableFeedClient
 from .connection.warm_up_calls import WarmUpClient
@@ -32,26 +32,26 @@
 from .platform.names import CRASHES_TABLE, READY_PATH
 from .platform.store import RowStore
 from .process.backends import Backend, Backends
+from .process.batch_items import BatchItem, ItemOutcome
 from .process.budget_shares import count_sharing_nodes
 from .process.counters import Counters
 from .process.deployments import DeploymentInForce
 from .process.failing_servers import FailingServers
 from .process.host_settings import HostSettings
+from .process.local_queues import LocalQueues
 from .process.metrics import Metrics
 from .process.peer_catch_up import PeerCatchUp
-from .process.piece_owners import PieceOwners
-from .process.piece_service import LocalPieces
-from .process.pieces import Piece, PieceOutcome
 from .process.places import Places
 from .process.platform_tables import PlatformTables, TableNames
 from .process.poison_requests import PoisonRequests
 from .process.queue_load import QueueLoads
+from .process.queue_owners import QueueOwners
 from .process.reach import DataCentreReach
 from .process.reach_checks import ReachChecks
 from .process.retry_budget import RetryBudgets
 from .process.server_choice import ServerChoice
 from .process.server_list import ServerList
-from .process.shared_pieces import SharedPieces
+from .process.shared_queues import SharedQueues
 from .process.stopping import Stopping
 from .process.supervision import keep_running
 from .process.warm_up import WarmUp
@@ -106,7 +106,7 @@
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s, loop.time
         )
         self.reach = DataCentreReach(settings.data_centre, loop.time)
-        self.piece_calls = PieceCalls(stage_calls, self._server_replaced)
+        self.batch_calls = BatchCalls(stage_calls, self._server_replaced)
         self.peer_session = new_session(PEER_IDLE_S / 2)
         self.peer_calls = PeerCalls(self.peer_session)
         self.catch_up = PeerCatchUp(
@@ -157,19 +157,19 @@
             loop.time,
             self.counters.count,
         )
-        self.pieces = LocalPieces(
+        self.local_queues = LocalQueues(
             self.backends,
             lambda: self.deployments.current,
             self.retries,
             self.reach,
-            self.piece_calls.run,
-            self.piece_calls.free,
-            stage_calls.maker_of,
-            self.metrics.note_wait,
+            self.batch_calls.run,
+            self.batch_calls.free,
+            stage_calls.producer_of,
+            self.metrics.record_wait,
             self.poison,
             self.warm_up.admission.is_bounded,
         )
-        self.backends.on_change = self.pieces.servers_changed
+        self.backends.on_change = self.local_queues.servers_changed
         self.membership.on_gossip_item = self._mark_heard
         self.membership.on_ack = self._ack_heard
         self.reach.on_silent = self.checks.check
@@ -195,8 +195,8 @@
         )
         self.queue_loads = QueueLoads(loop.time)
         self.final_times = FinalTimes()
-        self.handoff = HandoffClient(self.queue_loads.hear)
-        self.owners = PieceOwners(
+        self.handoff = HandoffClient(self.queue_loads.receive)
+        self.owners = QueueOwners(
             settings.node,
             settings.data_centre,
             settings.capacity(),
@@ -204,11 +204,11 @@
             self.reach,
             loop.time,
         )
-        self.shared_pieces = SharedPieces(
+        self.shared_queues = SharedQueues(
             self.owners,
-            self.pieces,
+            self.local_queues,
             self.handoff,
-            self.queue_loads.hear,
+            self.queue_loads.receive,
             self.membership.members.by_id.get,
             self.membership.probe,
             self.counters.count,
@@ -267,7 +267,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.checks.stop()
-        self.shared_pieces.checks.stop()
+        self.shared_queues.checks.stop()
         self.poison.ended.stop()
         await self.membership.stop()
         await self._listeners.close()
@@ -314,12 +314,12 @@
             choose=self.choice.choose,
             admit=self.warm_up.admission.admit,
             warm_engine=self.choice.warm_engine,
-            data_centre_of=self.pieces.data_centre_of,
+            data_centre_of=self.local_queues.data_centre_of,
             is_over=self.backends.is_over,
             plan=planner.plan,
             refuse_hopeless=planner.refuse_hopeless,
-            run_pieces=self.shared_pieces.run,
-            free_results=self.shared_pieces.freed.free,
+            run_items=self.shared_queues.run,
+            free_results=self.shared_queues.results.free,
             final_times=self.final_times,
             retries=self.retries,
             reach=self.reach,
@@ -340,17 +340,17 @@
         return DEFAULT_HEADER_S if deployment is None else deployment.limits.header_s
 
     async def _run_handed_over(
-        self, service: ServiceName, pieces: list[Piece]
-    ) -> list[PieceOutcome]:
+        self, service: ServiceName, items: list[BatchItem]
+    ) -> list[ItemOutcome]:
         with self.stopping.in_flight():
-            return await self.pieces.run(service, pieces)
+            return await self.local_queues.run(service, items)
 
     async def _listen_peers(self) -> None:
         interface = HandoffInterface(
             self._run_handed_over,
-            self.pieces.knows,
-            self.pieces.load,
-            self.pieces.free,
+            self.local_queues.has_servers,
+            self.local_queues.load,
+            self.local_queues.free,
         )
         await self._listeners.serve_app(
             peer_application(self, interface),
@@ -391,7 +391,7 @@
 
     def _ack_heard(self, member: Member) -> None:
         self.checks.note_ack(member)
-        self.shared_pieces.checks.note_ack(member)
+        self.shared_queues.checks.on_ack(member)
 
     def _advanced(self, number: int) -> None:
         self.membership.announce_revision(Revision(number))
--- a/packages/node/src/eelgrass_node/exceptions.py
+++ b/packages/node/src/eelgrass_node/exceptions.py
@@ -1,6 +1,6 @@
 """The exception tree of the node; every message names a remedy."""
 
-from .process.pieces import PieceTrouble
+from .process.batch_items import ItemFailure
 from .request.reasons import Outcome, RefusalReason, RetryReason, refusal_kind
 
 __all__ = [
@@ -11,7 +11,7 @@
     "HistoryGone",
     "NodeError",
     "PeerUnreachable",
-    "PieceAnswerMalformed",
+    "BatchAnswerMalformed",
     "Refused",
     "RequestMalformed",
     "RequestQuarantined",
@@ -150,7 +150,7 @@
         super().__init__(f"The request is malformed: {reason}. Correct it.")
 
 
-class PieceAnswerMalformed(NodeError):
+class BatchAnswerMalformed(NodeError):
     """A backend server's answer does not fit the call for pieces."""
 
     def __init__(self, reason: str) -> None:
@@ -165,12 +165,12 @@
     ``trouble`` says why, ``retry_after_s`` when to come back, in seconds.
     """
 
-    def __init__(self, trouble: PieceTrouble, retry_after_s: float) -> None:
+    def __init__(self, failure: ItemFailure, retry_after_s: float) -> None:
         super().__init__(
-            f"A stage had no result ({trouble.value}). Repeat the request in "
+            f"A stage had no result ({failure.value}). Repeat the request in "
             f"{retry_after_s:.1f} s."
         )
-        self.trouble = trouble
+        self.failure = failure
         self.retry_after_s = retry_after_s
 
 
--- a/packages/node/src/eelgrass_node/platform/configuration.py
+++ b/packages/node/src/eelgrass_node/platform/configuration.py
@@ -5,11 +5,11 @@
 from ..exceptions import ConfigurationMalformed
 from ..version.deployment import (
     AccountGrant,
+    BatchLimits,
+    BatchStage,
     CallerLimits,
     Deployment,
     ModelLimits,
-    PieceLimits,
-    PieceStage,
     Route,
     RouteKind,
     Service,
@@ -199,8 +199,8 @@
     )
 
 
-def _stage(wire: _Stage) -> PieceStage:
-    return PieceStage(ServiceName(wire.service), wire.after, int(wire.bytes))
+def _stage(wire: _Stage) -> BatchStage:
+    return BatchStage(ServiceName(wire.service), wire.after, int(wire.bytes))
 
 
 def _service(wire: _Service) -> Service:
@@ -212,15 +212,15 @@
             token_bytes=wire.engine.kv_token_bytes,
             link_bytes_per_s=wire.engine.bandwidth_mbps * 1e6 / 8,
         )
-    pieces = None
+    batch_limits = None
     if wire.segments is not None:
         segments = wire.segments
-        pieces = PieceLimits(
+        batch_limits = BatchLimits(
             slots=segments.slots,
             queue=segments.queue,
             batch=max(1, segments.batch),
             call_s=segments.call_ms / 1000,
-            piece_s=segments.item_ms / 1000,
+            item_s=segments.item_ms / 1000,
             memory_bytes=segments.headroom_mb * 1e6,
             result_life_s=segments.handle_s,
         )
@@ -228,7 +228,7 @@
         name=ServiceName(wire.name),
         max_connections=wire.max_connections,
         model=model,
-        pieces=pieces,
+        batch_limits=batch_limits,
         warm_up_s=wire.warmup_s,
         warm_up_per_s=wire.warmup_per_s,
     )
--- a/packages/node/src/eelgrass_node/platform/requests.py
+++ b/packages/node/src/eelgrass_node/platform/requests.py
@@ -29,7 +29,7 @@
 _LATIN = "latin-1"
 # Longer waits than a day are taken for a mistake.
 MAX_DEADLINE_MS = 86_400_000.0
-MAX_PIECES = 10_000
+MAX_ITEMS = 10_000
 MAX_PRIORITY = 9
 HTTP_MISDIRECTED = 421
 
@@ -61,8 +61,8 @@
         caller_deadline_s=_deadline_s(known.get(names.DEADLINE_MS)),
         api_key=_api_key(known.get(names.AUTHORIZATION)),
         last_event_id=known.get(names.LAST_EVENT_ID),
-        piece_counts=_piece_counts(known.get(names.SEGMENTS)),
-        piece_key=known.get(names.SEGMENT_KEY, ""),
+        item_counts=_item_counts(known.get(names.SEGMENTS)),
+        item_key=known.get(names.SEGMENT_KEY, ""),
         prompt=_prompt(known.get(names.PROMPT_PREFIX), known.get(names.TOKEN_USAGE)),
     )
 
@@ -143,14 +143,14 @@
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
-def _piece_counts(value: str | None) -> tuple[int, ...]:
+def _item_counts(value: str | None) -> tuple[int, ...]:
     if not value:
         return ()
     try:
         counts = tuple(int(count) for count in value.split(","))
     except ValueError as error:
         raise RequestMalformed(f"{names.SEGMENTS} holds no numbers") from error
-    if any(not 0 <= count <= MAX_PIECES for count in counts):
+    if any(not 0 <= count <= MAX_ITEMS for count in counts):
         raise RequestMalformed(f"{names.SEGMENTS} is out of range")
     return counts
 
--- a/packages/node/src/eelgrass_node/platform/stage_calls.py
+++ b/packages/node/src/eelgrass_node/platform/stage_calls.py
@@ -3,8 +3,8 @@
 import msgspec
 from multidict import CIMultiDict
 
-from ..exceptions import PieceAnswerMalformed
-from ..process.pieces import Piece, PieceOutcome, PieceTrouble
+from ..exceptions import BatchAnswerMalformed
+from ..process.batch_items import BatchItem, ItemFailure, ItemOutcome
 from . import names
 
 __all__ = [
@@ -13,18 +13,18 @@
     "call_headers",
     "decode_outcomes",
     "encode_free",
-    "encode_pieces",
-    "maker_of",
+    "encode_items",
+    "producer_of",
 ]
 
 RUN_PATH = names.STAGE_RUN_PATH
 FREE_PATH = names.STAGE_FREE_PATH
 
-_TROUBLES = {
-    "late": PieceTrouble.LATE,
-    "gone": PieceTrouble.INPUT_GONE,
-    "room": PieceTrouble.NO_ROOM,
-    "error": PieceTrouble.FAILED,
+_FAILURE_BY_REASON = {
+    "late": ItemFailure.LATE,
+    "gone": ItemFailure.INPUT_GONE,
+    "room": ItemFailure.NO_ROOM,
+    "error": ItemFailure.FAILED,
 }
 
 
@@ -57,12 +57,12 @@
 _decoder = msgspec.json.Decoder(_Results)
 
 
-def encode_pieces(pieces: list[Piece], now: float) -> bytes:
+def encode_items(items: list[BatchItem], now: float) -> bytes:
     """Return the body of a call that runs pieces."""
-    return msgspec.json.encode(_Items([_item(piece, now) for piece in pieces]))
+    return msgspec.json.encode(_Items([_item(item, now) for item in items]))
 
 
-def decode_outcomes(body: bytes, count: int) -> list[PieceOutcome]:
+def decode_outcomes(body: bytes, count: int) -> list[ItemOutcome]:
     """Decode the answer, in the order of the call.
 
     Raises :class:`PieceAnswerMalformed` where it does not fit the call.
@@ -70,9 +70,9 @@
     try:
         results = _decoder.decode(body).items
     except msgspec.MsgspecError as error:
-        raise PieceAnswerMalformed(repr(error)) from error
+        raise BatchAnswerMalformed(repr(error)) from error
     if len(results) != count:
-        raise PieceAnswerMalformed(f"{len(results)} results for {count} pieces")
+        raise BatchAnswerMalformed(f"{len(results)} results for {count} pieces")
     return [_outcome(result) for result in results]
 
 
@@ -81,27 +81,27 @@
     return msgspec.json.encode(_Free(handles))
 
 
-def maker_of(handle: str) -> str:
+def producer_of(handle: str) -> str:
     """Return the address of the backend server that holds a result."""
     return handle.partition("/")[0]
 
 
-def _item(piece: Piece, now: float) -> _Item:
+def _item(item: BatchItem, now: float) -> _Item:
     return _Item(
-        id=piece.request_id,
-        phase=piece.stage,
-        segment=piece.number,
-        remaining_ms=max(1, int((piece.deadline - now) * 1000)),
-        key=piece.key,
-        inputs=piece.inputs if piece.key is None else None,
+        id=item.request_id,
+        phase=item.stage,
+        segment=item.number,
+        remaining_ms=max(1, int((item.deadline - now) * 1000)),
+        key=item.key,
+        inputs=item.inputs if item.key is None else None,
     )
 
 
-def _outcome(result: _Result) -> PieceOutcome:
+def _outcome(result: _Result) -> ItemOutcome:
     if result.handle:
-        return PieceOutcome(handle=result.handle)
-    trouble = _TROUBLES.get(result.reason or "", PieceTrouble.FAILED)
-    return PieceOutcome(trouble=trouble)
+        return ItemOutcome(handle=result.handle)
+    failure = _FAILURE_BY_REASON.get(result.reason or "", ItemFailure.FAILED)
+    return ItemOutcome(failure=failure)
 
 
 def call_headers(server_id: str) -> CIMultiDict[str]:
--- a/packages/node/src/eelgrass_node/process/account_shares.py
+++ b/packages/node/src/eelgrass_node/process/account_shares.py
@@ -17,7 +17,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
 
-from .pieces import Piece
+from .batch_items import BatchItem
 
 __all__ = ["AccountShares"]
 
@@ -47,33 +47,35 @@
     """
 
     def __init__(self) -> None:
-        self.crowding: frozenset[str] = frozenset()
-        self.left = 1.0
+        self.over_share_accounts: frozenset[str] = frozenset()
+        self.left_fraction = 1.0
         self._asked_by_account: dict[str, _Fading] = {}
         self._given_by_account: dict[str, _Fading] = {}
         self._yield = 1.0
         self._marked_at = -math.inf
 
-    def note_asked(self, pieces: Sequence[Piece], work_s: float, now: float) -> None:
+    def record_demand(
+        self, items: Sequence[BatchItem], work_s: float, now: float
+    ) -> None:
         """Take in a set that an account asks for, and mark it."""
-        account = pieces[0].account
+        account = items[0].account
         asked = self._asked_by_account.setdefault(account or "", _Fading())
         asked.add(work_s, now)
-        _mark(pieces, account in self.crowding)
+        _mark(items, account in self.over_share_accounts)
 
-    def note_given(self, account: str | None, work_s: float, now: float) -> None:
+    def record_work(self, account: str | None, work_s: float, now: float) -> None:
         """Take in work that servers begin for an account."""
         given = self._given_by_account.setdefault(account or "", _Fading())
         given.add(work_s, now)
 
-    def note_call(self, work_s: float, took_s: float) -> None:
+    def record_call(self, work_s: float, took_s: float) -> None:
         """Take in how much work a call did in its time; part-full calls do less."""
         share = min(1.0, work_s / took_s) if took_s > 0.0 else 1.0
         self._yield += YIELD_WEIGHT * (share - self._yield)
 
-    def mark(
+    def update(
         self,
-        waiting: Iterable[Sequence[Piece]],
+        waiting: Iterable[Sequence[BatchItem]],
         work_s: Callable[[int], float],
         servers: int,
         now: float,
@@ -87,36 +89,36 @@
             return
         self._marked_at = now
         self._forget_idle(now)
-        sets = sorted(waiting, key=lambda pieces: pieces[0].due)
+        sets = sorted(waiting, key=lambda items: items[0].due)
         level_s = self._level_s(sets, work_s, servers, now)
-        if math.isinf(level_s) and not self.crowding:
+        if math.isinf(level_s) and not self.over_share_accounts:
             return
         left_s_by_account: dict[str, float] = {}
-        for pieces in sets:
-            account = pieces[0].account
+        for items in sets:
+            account = items[0].account
             if account is None:
                 continue
             left_s = left_s_by_account.get(account)
             if left_s is None:
                 left_s = level_s - _value(self._given_by_account, account, now)
-            left_s_by_account[account] = left_s = left_s - work_s(len(pieces))
-            _mark(pieces, left_s < 0.0)
-        self.crowding = frozenset(
+            left_s_by_account[account] = left_s = left_s - work_s(len(items))
+            _mark(items, left_s < 0.0)
+        self.over_share_accounts = frozenset(
             account for account, left_s in left_s_by_account.items() if left_s < 0.0
         )
-        self.left = self._left(servers, now)
+        self.left_fraction = self._left_fraction(servers, now)
 
     def _level_s(
         self,
-        sets: Sequence[Sequence[Piece]],
+        sets: Sequence[Sequence[BatchItem]],
         work_s: Callable[[int], float],
         servers: int,
         now: float,
     ) -> float:
         """Return the work that each account may have in the time constant."""
         waiting: Counter[str] = Counter()
-        for pieces in sets:
-            waiting[pieces[0].account or ""] += work_s(len(pieces))
+        for items in sets:
+            waiting[items[0].account or ""] += work_s(len(items))
         # What waits was asked for, however long ago.
         asked = [
             max(work.value(now), waiting[account])
@@ -124,11 +126,11 @@
         ]
         return fair_level(asked, servers * self._yield * FADE_S)
 
-    def _left(self, servers: int, now: float) -> float:
+    def _left_fraction(self, servers: int, now: float) -> float:
         others_s = sum(
             asked.value(now)
             for account, asked in self._asked_by_account.items()
-            if account not in self.crowding
+            if account not in self.over_share_accounts
         )
         return max(LEAST_LEFT, 1.0 - others_s / (servers * self._yield * FADE_S))
 
@@ -175,6 +177,6 @@
     return 0.0 if work is None else work.value(now)
 
 
-def _mark(pieces: Iterable[Piece], beyond: bool) -> None:
-    for piece in pieces:
-        piece.beyond = beyond
+def _mark(items: Iterable[BatchItem], over_share: bool) -> None:
+    for item in items:
+        item.over_share = over_share
--- a/packages/node/src/eelgrass_node/process/pieces.py
+++ b/packages/node/src/eelgrass_node/process/batch_items.py
@@ -9,23 +9,23 @@
 from .backends import ServerLife
 from .ended_servers import Fingerprint
 
-__all__ = ["Piece", "PieceOutcome", "PieceTrouble"]
+__all__ = ["BatchItem", "ItemOutcome", "ItemFailure"]
 
 
-class PieceTrouble(Enum):
+class ItemFailure(Enum):
     """Why a piece has no result."""
 
     LATE = "late"
     INPUT_GONE = "input_gone"
     NO_ROOM = "no_room"
     FAILED = "failed"
-    UNREACHED = "unreached"
+    UNREACHABLE = "unreached"
     LOST = "lost"
-    SILENT = "silent"
+    TIMED_OUT = "silent"
     OVERLOADED = "overloaded"
 
 
-class Piece(msgspec.Struct, eq=False):
+class BatchItem(msgspec.Struct, eq=False):
     """One piece of one stage of a request.
 
     ``key`` names its input where the stage follows no other; otherwise
@@ -54,20 +54,20 @@
     due: float
     priority: int
     result_bytes: int
-    near: str = ""
-    makers: tuple[ServerLife, ...] = ()
+    preferred_data_centre: str = ""
+    producers: tuple[ServerLife, ...] = ()
     account: str | None = None
-    beyond: bool = False
+    over_share: bool = False
     queued_at: float = 0.0
-    begun: bool = False
-    alone: bool = False
+    set_started: bool = False
+    isolated: bool = False
     set_size: int = 1
     tries: int = 0
-    request: Fingerprint = Fingerprint("")
+    fingerprint: Fingerprint = Fingerprint("")
     regions: frozenset[str] | None = None
 
 
-class PieceOutcome(msgspec.Struct, frozen=True, omit_defaults=True):
+class ItemOutcome(msgspec.Struct, frozen=True, omit_defaults=True):
     """A handle of the result, or why there is none.
 
     ``retry_after_s`` says when to come back where the piece was refused,
@@ -76,7 +76,7 @@
     """
 
     handle: str | None = None
-    trouble: PieceTrouble | None = None
+    failure: ItemFailure | None = msgspec.field(name="trouble", default=None)
     retry_after_s: float = 0.0
-    maker: ServerLife | None = None
+    producer: ServerLife | None = msgspec.field(name="maker", default=None)
     owner: NodeId | None = None
--- a/packages/node/src/eelgrass_node/process/piece_queue.py
+++ b/packages/node/src/eelgrass_node/process/batch_queue.py
@@ -17,21 +17,21 @@
 from eelgrass_coordination.ids import BackendId
 
 from ..log import Part, log
-from ..version.deployment import PieceLimits
+from ..version.deployment import BatchLimits
 from .account_shares import AccountShares
 from .backends import Backend, ServerLife
+from .batch_items import BatchItem, ItemFailure, ItemOutcome
+from .batch_selection import select_batch
+from .item_order import ItemOrder, rank
 from .overload import Overload
-from .piece_batch import take_batch
-from .piece_order import PieceOrder, rank
-from .piece_servers import FAILURES, PieceServers
-from .pieces import Piece, PieceOutcome, PieceTrouble
 from .queue_load import QueueLoad
+from .queue_servers import SERVER_FAILURES, QueueServers
 from .reach import DataCentreReach
 from .waiting_sets import WaitingSets
 
-__all__ = ["PieceQueue", "RunCall"]
+__all__ = ["BatchQueue", "RunCall"]
 
-RunCall = Callable[[Backend, list[Piece], float], Awaitable[list[PieceOutcome]]]
+RunCall = Callable[[Backend, list[BatchItem], float], Awaitable[list[ItemOutcome]]]
 
 # A piece is run at most this often; the second and third time after a failure.
 MAX_TRIES = 3
@@ -51,12 +51,12 @@
 FILL_AGAIN_S = 0.05
 
 
-class PieceQueue:
+class BatchQueue:
     """Pieces that wait for a server of ``service``.
 
     ``servers`` returns those that may get work, ``data_centre_of`` tells where a
     result lies, and ``is_over`` whether a life of a server has ended.
-    ``may_repeat`` asks for one more call of a piece, ``note_wait`` is
+    ``may_repeat`` asks for one more call of a piece, ``record_wait`` is
     told how long pieces waited, and ``free_results`` frees results that nobody
     waits for any more.
     """
@@ -64,25 +64,25 @@
     def __init__(
         self,
         service: str,
-        limits: Callable[[], PieceLimits],
+        limits: Callable[[], BatchLimits],
         servers: Callable[[], list[Backend]],
         reach: DataCentreReach,
         data_centre_of: Callable[[str], str],
         is_over: Callable[[ServerLife], bool],
         run_call: RunCall,
-        may_repeat: Callable[[Piece], bool],
-        note_wait: Callable[[str, float], None],
+        may_retry: Callable[[BatchItem], bool],
+        record_wait: Callable[[str, float], None],
         free_results: Callable[[list[str]], None],
     ) -> None:
         self.service = service
         self._limits = limits
-        self._servers = PieceServers(
+        self._servers = QueueServers(
             service, limits, servers, reach, data_centre_of, is_over
         )
-        self._order = PieceOrder(limits, self._servers)
+        self._order = ItemOrder(limits, self._servers)
         self._run_call = run_call
-        self._may_repeat = may_repeat
-        self._note_wait = note_wait
+        self._may_retry = may_retry
+        self._record_wait = record_wait
         self._free_results = free_results
         self._waiting = WaitingSets()
         self._overload = Overload()
@@ -95,54 +95,54 @@
         """How many pieces wait."""
         return len(self._waiting)
 
-    async def run(self, pieces: list[Piece]) -> list[PieceOutcome]:
+    async def run(self, items: list[BatchItem]) -> list[ItemOutcome]:
         """Run pieces and return their outcomes, in order.
 
         Where the caller of this is cancelled, pieces that still wait are
         withdrawn; those that a server works on go on, and all results are freed.
         """
         now = _now()
-        self._shares.note_asked(pieces, self._order.work_s(len(pieces)), now)
-        self._mark_shares(now)
-        refusal = self._refusal(pieces, now)
+        self._shares.record_demand(items, self._order.work_s(len(items)), now)
+        self._update_shares(now)
+        refusal = self._refusal(items, now)
         if refusal is not None:
-            return [refusal] * len(pieces)
+            return [refusal] * len(items)
         loop = asyncio.get_running_loop()
-        futures = [loop.create_future() for _ in pieces]
-        for piece, future in zip(pieces, futures, strict=True):
-            piece.queued_at = now
-            piece.set_size = len(pieces)
-            self._waiting.add(piece, future)
-        self.fill()
+        futures = [loop.create_future() for _ in items]
+        for item, future in zip(items, futures, strict=True):
+            item.queued_at = now
+            item.set_size = len(items)
+            self._waiting.add(item, future)
+        self.start_calls()
         try:
             return list(await asyncio.gather(*futures))
         except asyncio.CancelledError:
             self._free_made(futures)
             raise
         finally:
-            self._waiting.withdraw(pieces)
+            self._waiting.withdraw(items)
 
     def free(self, life: ServerLife, handles: list[str]) -> None:
         """Note that results were freed at a server."""
         self._servers.free(life, handles)
-        self.fill()
+        self.start_calls()
 
     def load(self) -> QueueLoad:
         """Return the load of the queue, for other nodes."""
         now = _now()
-        self._mark_shares(now)
+        self._update_shares(now)
         limits = self._limits()
         places = limits.batch * self._servers.slots()
-        piece_s = self._servers.call_s(limits.batch) / places
-        late = beyond = 0
+        item_s = self._servers.call_s(limits.batch) / places
+        late = over_share = 0
         priorities: Counter[int] = Counter()
-        for pieces in self._waiting:
-            if self._order.is_late(pieces[0], now):
-                late += len(pieces)
-            elif pieces[0].beyond:
-                beyond += len(pieces)
+        for items in self._waiting:
+            if self._order.is_late(items[0], now):
+                late += len(items)
+            elif items[0].over_share:
+                over_share += len(items)
             else:
-                priorities[pieces[0].priority] += len(pieces)
+                priorities[items[0].priority] += len(items)
         waits = []
         ahead = 0
         for priority in sorted(priorities):
@@ -150,10 +150,11 @@
             waits.append((priority, self._told_wait(ahead, now)))
         return QueueLoad(
             wait_by_priority=tuple(waits),
-            late_s=round(late * piece_s, 3),
-            overload_s=round(self._overload.lasted_s(now), 3),
-            crowding=tuple(self._shares.crowding),
-            crowding_wait_s=self._told_wait(ahead + beyond, now) / self._shares.left,
+            late_s=round(late * item_s, 3),
+            overload_s=round(self._overload.duration_s(now), 3),
+            over_share_accounts=tuple(self._shares.over_share_accounts),
+            over_share_wait_s=self._told_wait(ahead + over_share, now)
+            / self._shares.left_fraction,
         )
 
     def _told_wait(self, ahead: int, now: float) -> float:
@@ -164,11 +165,11 @@
         """Return what the queue has at its sound servers, for operators."""
         return self._servers.use_by_id(now)
 
-    def fill(self) -> None:
+    def start_calls(self) -> None:
         """Start calls at idle servers, as far as pieces wait."""
         while self._waiting:
             now = _now()
-            self._mark_shares(now)
+            self._update_shares(now)
             self._drop_hopeless(now)
             if not self._start_one(now):
                 self._fill_later()
@@ -177,7 +178,7 @@
     def _start_one(self, now: float) -> bool:
         """Start a call at the first idle server that has pieces to take."""
         for server in self._servers.idle(len(self._waiting), now):
-            batch = self._take_batch(server, now)
+            batch = self._select_batch(server, now)
             if batch:
                 self._start(server, batch, now)
                 return True
@@ -191,19 +192,21 @@
 
     def _fill_again(self) -> None:
         self._fill_timer = None
-        self.fill()
+        self.start_calls()
 
-    def _mark_shares(self, now: float) -> None:
-        self._shares.mark(self._waiting, self._order.work_s, self._servers.slots(), now)
+    def _update_shares(self, now: float) -> None:
+        self._shares.update(
+            self._waiting, self._order.work_s, self._servers.slots(), now
+        )
 
-    def _refusal(self, pieces: list[Piece], now: float) -> PieceOutcome | None:
+    def _refusal(self, items: list[BatchItem], now: float) -> ItemOutcome | None:
         """Return a refusal where the pieces cannot be run in time."""
-        first = pieces[0]
+        first = items[0]
         wait_s = self._servers.expected_wait(self._ahead_of(first, now), now)
-        if first.beyond:
+        if first.over_share:
             # Others that come later go first.
-            wait_s /= self._shares.left
-        end = now + wait_s + self._servers.call_s(len(pieces))
+            wait_s /= self._shares.left_fraction
+        end = now + wait_s + self._servers.call_s(len(items))
         if first.inputs and end <= first.deadline:
             return None
         if end <= first.due:
@@ -213,69 +216,69 @@
         late_s = self.load().late_s
         if end <= first.deadline and late_s < LATE_BACKLOG_S:
             return None
-        self._overload.note_refusal(now)
+        self._overload.record_refusal(now)
         wait_s = max(wait_s, late_s)
         after_s = max(
             MIN_RETRY_AFTER_S,
             min(wait_s, first.deadline - now),
-            self._overload.lasted_s(now),
+            self._overload.duration_s(now),
         )
-        return PieceOutcome(trouble=PieceTrouble.OVERLOADED, retry_after_s=after_s)
+        return ItemOutcome(failure=ItemFailure.OVERLOADED, retry_after_s=after_s)
 
-    def _ahead_of(self, first: Piece, now: float) -> int:
+    def _ahead_of(self, first: BatchItem, now: float) -> int:
         """Return how many pieces go before a newcomer; late ones go after it."""
         own = rank(first)
         return sum(
-            len(pieces)
-            for pieces in self._waiting
-            if pieces[0].begun
-            or (rank(pieces[0]) <= own and not self._order.is_late(pieces[0], now))
+            len(items)
+            for items in self._waiting
+            if items[0].set_started
+            or (rank(items[0]) <= own and not self._order.is_late(items[0], now))
         )
 
     def _drop_hopeless(self, now: float) -> None:
         shortest = self._servers.call_s(1)
-        for pieces in self._waiting:
-            if pieces[0].deadline - now < shortest:
-                self._overload.note_refusal(now)
-                outcome = PieceOutcome(
-                    trouble=PieceTrouble.LATE,
-                    retry_after_s=self._overload.lasted_s(now),
+        for items in self._waiting:
+            if items[0].deadline - now < shortest:
+                self._overload.record_refusal(now)
+                outcome = ItemOutcome(
+                    failure=ItemFailure.LATE,
+                    retry_after_s=self._overload.duration_s(now),
                 )
-                self._log_late(pieces, now)
-                self._settle_all(pieces, outcome)
-            elif self._servers.inputs_lost(pieces[0]):
+                self._log_late(items, now)
+                self._settle_all(items, outcome)
+            elif self._servers.inputs_lost(items[0]):
                 # Their inputs are out of reach; they can be made again here.
-                self._settle_all(pieces, PieceOutcome(trouble=PieceTrouble.INPUT_GONE))
+                self._settle_all(items, ItemOutcome(failure=ItemFailure.INPUT_GONE))
 
-    def _log_late(self, pieces: Sequence[Piece], now: float) -> None:
-        first = pieces[0]
+    def _log_late(self, items: Sequence[BatchItem], now: float) -> None:
+        first = items[0]
         log(
             Part.PIECES,
             "Pieces are given up as late.",
             service=self.service,
             id=first.request_id,
-            pieces=len(pieces),
+            pieces=len(items),
             waited_s=round(now - first.queued_at, 3),
-            begun=first.begun,
+            begun=first.set_started,
             waiting=len(self._waiting),
             servers=self.use_by_id(now),
         )
 
-    def _settle_all(self, pieces: Sequence[Piece], outcome: PieceOutcome) -> None:
-        for piece, future in self._waiting.futures(pieces):
-            self._settle(piece, future, outcome)
+    def _settle_all(self, items: Sequence[BatchItem], outcome: ItemOutcome) -> None:
+        for item, future in self._waiting.futures(items):
+            self._settle(item, future, outcome)
 
-    def _take_batch(self, server: Backend, now: float) -> list[Piece]:
+    def _select_batch(self, server: Backend, now: float) -> list[BatchItem]:
         limits = self._limits()
         place = server.entry.data_centre
         sets = [
-            pieces
-            for pieces in self._waiting
-            if server.is_in(pieces[0].regions)
-            and not self._order.waits_for_near(pieces[0], server, now)
+            items
+            for items in self._waiting
+            if server.is_in(items[0].regions)
+            and not self._order.waits_for_preferred(items[0], server, now)
         ]
-        return take_batch(
-            sorted(sets, key=lambda pieces: self._order.key(pieces[0], place, now)),
+        return select_batch(
+            sorted(sets, key=lambda items: self._order.key(items[0], place, now)),
             limits.batch,
             self._servers.room(server, now),
             limits.memory_bytes,
@@ -283,7 +286,7 @@
             now,
         )
 
-    def _start(self, server: Backend, batch: list[Piece], now: float) -> None:
+    def _start(self, server: Backend, batch: list[BatchItem], now: float) -> None:
         use = self._servers.use(server)
         use.calls += 1
         expected_s = self._servers.call_s(len(batch)) * use.slowness(now)
@@ -298,11 +301,11 @@
             due_in_s=round(batch[0].due - now, 3),
             left=len(self._waiting) - len(batch),
             held_mb=round(use.held_bytes(now) / 1e6, 2),
-            requests=sorted({piece.request_id for piece in batch}),
+            requests=sorted({item.request_id for item in batch}),
         )
-        for piece in batch:
-            self._note_wait(self.service, now - piece.queued_at)
-            self._shares.note_given(piece.account, self._order.work_s(1), now)
+        for item in batch:
+            self._record_wait(self.service, now - item.queued_at)
+            self._shares.record_work(item.account, self._order.work_s(1), now)
         futures = self._waiting.take(batch)
         task = asyncio.create_task(self._call(server, futures, expected_s))
         self._tasks.add(task)
@@ -311,7 +314,7 @@
     async def _call(
         self,
         server: Backend,
-        futures: dict[Piece, asyncio.Future[PieceOutcome]],
+        futures: dict[BatchItem, asyncio.Future[ItemOutcome]],
         expected_s: float,
     ) -> None:
         batch = list(futures)
@@ -325,20 +328,20 @@
         now = _now()
         # What this process stood still says nothing of the server's pace.
         took_s = running_time() - began
-        self._servers.note_call(server, batch, outcomes, took_s)
+        self._servers.record_call(server, batch, outcomes, took_s)
         made = sum(outcome.handle is not None for outcome in outcomes)
-        self._shares.note_call(self._order.work_s(made), took_s)
+        self._shares.record_call(self._order.work_s(made), took_s)
         until = now + self._limits().result_life_s
-        maker = server.entry.life
-        for piece, outcome in zip(batch, outcomes, strict=True):
+        producer = server.entry.life
+        for item, outcome in zip(batch, outcomes, strict=True):
             if outcome.handle is not None:
-                use.hold(outcome.handle, int(self._servers.size(piece)), until)
-                outcome = msgspec.structs.replace(outcome, maker=maker)
-            self._finish(piece, futures[piece], outcome)
+                use.hold(outcome.handle, int(self._servers.size(item)), until)
+                outcome = msgspec.structs.replace(outcome, producer=producer)
+            self._finish(item, futures[item], outcome)
         self._free_unwanted(futures, outcomes)
-        self.fill()
+        self.start_calls()
 
-    def _free_made(self, futures: Sequence[asyncio.Future[PieceOutcome]]) -> None:
+    def _free_made(self, futures: Sequence[asyncio.Future[ItemOutcome]]) -> None:
         """Free the results that are there of a set that nobody waits for any more."""
         made = [f.result() for f in futures if f.done() and not f.cancelled()]
         handles = [outcome.handle for outcome in made if outcome.handle is not None]
@@ -347,8 +350,8 @@
 
     def _free_unwanted(
         self,
-        futures: dict[Piece, asyncio.Future[PieceOutcome]],
-        outcomes: list[PieceOutcome],
+        futures: dict[BatchItem, asyncio.Future[ItemOutcome]],
+        outcomes: list[ItemOutcome],
     ) -> None:
         """Free results whose caller has gone away; they would hold memory."""
         unwanted = [
@@ -360,23 +363,23 @@
             self._free_results(unwanted)
 
     def _finish(
-        self, piece: Piece, future: asyncio.Future[PieceOutcome], outcome: PieceOutcome
+        self, item: BatchItem, future: asyncio.Future[ItemOutcome], outcome: ItemOutcome
     ) -> None:
-        piece.tries += 1
-        again = outcome.trouble in FAILURES | {PieceTrouble.NO_ROOM}
-        if outcome.trouble is PieceTrouble.NO_ROOM:
+        item.tries += 1
+        again = outcome.failure in SERVER_FAILURES | {ItemFailure.NO_ROOM}
+        if outcome.failure is ItemFailure.NO_ROOM:
             # It was not run; the next call is made when there is more room.
-            piece.tries -= 1
-        if again and piece.tries < MAX_TRIES and not future.done():
-            if self._may_repeat(piece):
-                self._waiting.add(piece, future)
+            item.tries -= 1
+        if again and item.tries < MAX_TRIES and not future.done():
+            if self._may_retry(item):
+                self._waiting.add(item, future)
                 return
-        self._settle(piece, future, outcome)
+        self._settle(item, future, outcome)
 
     def _settle(
-        self, piece: Piece, future: asyncio.Future[PieceOutcome], outcome: PieceOutcome
+        self, item: BatchItem, future: asyncio.Future[ItemOutcome], outcome: ItemOutcome
     ) -> None:
-        self._waiting.withdraw([piece])
+        self._waiting.withdraw([item])
         if not future.done():
             future.set_result(outcome)
 
--- a/packages/node/src/eelgrass_node/process/piece_batch.py
+++ b/packages/node/src/eelgrass_node/process/batch_selection.py
@@ -12,9 +12,9 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from .pieces import Piece
+from .batch_items import BatchItem
 
-__all__ = ["RESERVE_AFTER_S", "take_batch"]
+__all__ = ["RESERVE_AFTER_S", "select_batch"]
 
 # A set of pieces that has found no room for this long keeps later ones from
 # taking what comes free; about two calls.
@@ -26,26 +26,26 @@
 SMALL_BYTES = 100_000
 
 
-def take_batch(
-    ordered: Iterable[Sequence[Piece]],
+def select_batch(
+    ordered: Iterable[Sequence[BatchItem]],
     places: int,
     room: float,
     memory: float,
-    size_of: Callable[[Piece], float],
+    size_of: Callable[[BatchItem], float],
     now: float,
-) -> list[Piece]:
+) -> list[BatchItem]:
     """Return pieces for one call with ``places``, from sets in their order.
 
     A set holds the waiting pieces of one stage of one request. ``room`` is what a
     server has left of its ``memory`` for results, in bytes; ``size_of`` gives the
     bytes of a result.
     """
-    batch: list[Piece] = []
+    batch: list[BatchItem] = []
     reserved = False
     for group in ordered:
         if len(batch) == places:
             break
-        if batch and (group[0].alone or batch[0].alone):
+        if batch and (group[0].isolated or batch[0].isolated):
             # A server hangs on a piece whose inputs it cannot reach, and the
             # whole call with it.
             continue
@@ -68,25 +68,28 @@
             # they go in parts.
             part = _part(group, left, room, size_of)
             batch += part
-            room -= sum(size_of(piece) for piece in part)
+            room -= sum(size_of(item) for item in part)
             reserved = reserved or (not small and len(part) < len(group))
         elif not small and _holds_up(group, now):
             reserved = True
     return batch
 
 
-def _holds_up(group: Sequence[Piece], now: float) -> bool:
+def _holds_up(group: Sequence[BatchItem], now: float) -> bool:
     """Return whether room is kept free for pieces that found none."""
-    return group[0].begun or now - group[0].queued_at > RESERVE_AFTER_S
+    return group[0].set_started or now - group[0].queued_at > RESERVE_AFTER_S
 
 
 def _part(
-    group: Sequence[Piece], places: int, room: float, size_of: Callable[[Piece], float]
-) -> list[Piece]:
-    part: list[Piece] = []
-    for piece in group[:places]:
-        room -= size_of(piece)
+    group: Sequence[BatchItem],
+    places: int,
+    room: float,
+    size_of: Callable[[BatchItem], float],
+) -> list[BatchItem]:
+    part: list[BatchItem] = []
+    for item in group[:places]:
+        room -= size_of(item)
         if room < 0:
             break
-        part.append(piece)
+        part.append(item)
     return part
--- a/packages/node/src/eelgrass_node/process/costs.py
+++ b/packages/node/src/eelgrass_node/process/costs.py
@@ -62,7 +62,7 @@
     def __init__(self) -> None:
         self._by_key: dict[CostKey, CostRow] = {}
 
-    def note(self, request: CallerRequest, cost: StageCost) -> None:
+    def record(self, request: CallerRequest, cost: StageCost) -> None:
         """Add the cost of one stage of one request."""
         self._add(request, cost, requests=1)
 
--- a/packages/node/src/eelgrass_node/process/strong_nodes.py
+++ b/packages/node/src/eelgrass_node/process/high_capacity_nodes.py
@@ -3,17 +3,17 @@
 from collections.abc import Callable, Iterable
 from typing import TypeVar
 
-__all__ = ["strong_nodes"]
+__all__ = ["high_capacity_nodes"]
 
 T = TypeVar("T")
 
 # Nodes are strong whose capacity is at least this part of the greatest there is:
 # hosts of one kind differ by little, those of another by more than two.
-STRONG_FRACTION = 0.5
+HIGH_CAPACITY_FRACTION = 0.5
 
 
-def strong_nodes(nodes: Iterable[T], capacity: Callable[[T], float]) -> list[T]:
+def high_capacity_nodes(nodes: Iterable[T], capacity: Callable[[T], float]) -> list[T]:
     """Return those nodes that are not much weaker than the strongest of them."""
     known = list(nodes)
-    least = max(map(capacity, known), default=0.0) * STRONG_FRACTION
+    least = max(map(capacity, known), default=0.0) * HIGH_CAPACITY_FRACTION
     return [node for node in known if capacity(node) >= least]
--- a/packages/node/src/eelgrass_node/process/piece_service.py
+++ b/packages/node/src/eelgrass_node/process/local_queues.py
@@ -3,24 +3,24 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from ..version.deployment import Deployment, PieceLimits, ServiceName
+from ..version.deployment import BatchLimits, Deployment, ServiceName
 from .backends import Backend, Backends
-from .piece_queue import PieceQueue, RunCall
-from .pieces import Piece, PieceOutcome, PieceTrouble
+from .batch_items import BatchItem, ItemFailure, ItemOutcome
+from .batch_queue import BatchQueue, RunCall
 from .poison_requests import PoisonRequests
 from .queue_load import QueueLoad
 from .reach import DataCentreReach
 from .retry_budget import RetryBudgets
 
-__all__ = ["LocalPieces"]
+__all__ = ["LocalQueues"]
 
 # Where a configuration gives no limits for a service that a stage names.
-UNKNOWN_LIMITS = PieceLimits(
+UNKNOWN_LIMITS = BatchLimits(
     slots=1,
     queue=0,
     batch=1,
     call_s=0.2,
-    piece_s=0.0,
+    item_s=0.0,
     memory_bytes=float("inf"),
     result_life_s=1.0,
 )
@@ -28,11 +28,11 @@
 FreeCall = Callable[[Backend, list[str]], Awaitable[bool]]
 
 
-class LocalPieces:
+class LocalQueues:
     """Runs pieces from queues in this process, and frees their results.
 
     ``maker_of`` gives the address of the server that holds a result, and
-    ``note_wait`` is told how long the pieces of a service waited, in seconds.
+    ``record_wait`` is told how long the pieces of a service waited, in seconds.
     ``poison`` knows the requests that are not sent to servers any more, and
     ``is_bounded`` the servers that are cold and get no pieces until they are warm.
     """
@@ -45,8 +45,8 @@
         reach: DataCentreReach,
         run_call: RunCall,
         free_call: FreeCall,
-        maker_of: Callable[[str], str],
-        note_wait: Callable[[str, float], None],
+        producer_of: Callable[[str], str],
+        record_wait: Callable[[str, float], None],
         poison: PoisonRequests,
         is_bounded: Callable[[Backend], bool],
     ) -> None:
@@ -56,23 +56,23 @@
         self._reach = reach
         self._run_call = run_call
         self._free_call = free_call
-        self._maker_of = maker_of
-        self._note_wait = note_wait
+        self._producer_of = producer_of
+        self._record_wait = record_wait
         self._poison = poison
         self._is_bounded = is_bounded
         self._tasks: set[asyncio.Task] = set()
-        self.by_service: dict[ServiceName, PieceQueue] = {}
+        self.by_service: dict[ServiceName, BatchQueue] = {}
 
     async def run(
-        self, service: ServiceName, pieces: list[Piece]
-    ) -> list[PieceOutcome]:
+        self, service: ServiceName, items: list[BatchItem]
+    ) -> list[ItemOutcome]:
         """Run pieces of one stage and return their outcomes, in order."""
-        self._retries.note_requests(service, len(pieces))
-        if not self._usable(service, pieces[0].regions):
-            return [PieceOutcome(trouble=PieceTrouble.UNREACHED)] * len(pieces)
-        return await self.queue(service).run(pieces)
+        self._retries.note_requests(service, len(items))
+        if not self._usable(service, items[0].regions):
+            return [ItemOutcome(failure=ItemFailure.UNREACHABLE)] * len(items)
+        return await self.queue(service).run(items)
 
-    def knows(self, service: ServiceName) -> bool:
+    def has_servers(self, service: ServiceName) -> bool:
         """Return whether this node knows a server of a service.
 
         One that has just started is a member before it has read the list.
@@ -87,7 +87,7 @@
         """Free results at the servers that hold them, without waiting."""
         by_address: dict[str, list[str]] = {}
         for handle in handles:
-            by_address.setdefault(self._maker_of(handle), []).append(handle)
+            by_address.setdefault(self._producer_of(handle), []).append(handle)
         for address, held in by_address.items():
             backend = self._backends.at_address(address)
             if backend is None:
@@ -104,14 +104,14 @@
 
     def data_centre_of(self, handle: str) -> str:
         """Return the data centre of the server that holds a result, if known."""
-        backend = self._backends.at_address(self._maker_of(handle))
+        backend = self._backends.at_address(self._producer_of(handle))
         return "" if backend is None else backend.entry.data_centre
 
-    def queue(self, service: ServiceName) -> PieceQueue:
+    def queue(self, service: ServiceName) -> BatchQueue:
         """Return the queue of a service."""
         found = self.by_service.get(service)
         if found is None:
-            found = self.by_service[service] = PieceQueue(
+            found = self.by_service[service] = BatchQueue(
                 service,
                 lambda: self._limits(service),
                 lambda: self._usable(service),
@@ -119,8 +119,8 @@
                 self.data_centre_of,
                 self._backends.is_over,
                 self._call,
-                lambda piece: self._may_repeat(service, piece),
-                self._note_wait,
+                lambda item: self._may_retry(service, item),
+                self._record_wait,
                 lambda handles: self.free(service, handles),
             )
         return found
@@ -129,7 +129,7 @@
         """Serve pieces that a change of servers has made room for."""
         queue = self.by_service.get(ServiceName(service))
         if queue is not None:
-            queue.fill()
+            queue.start_calls()
 
     def _usable(
         self, service: ServiceName, regions: frozenset[str] | None = None
@@ -142,27 +142,27 @@
         ]
 
     async def _call(
-        self, backend: Backend, pieces: list[Piece], within_s: float
-    ) -> list[PieceOutcome]:
+        self, backend: Backend, items: list[BatchItem], within_s: float
+    ) -> list[ItemOutcome]:
         """Run pieces in one call; note the requests of one that lost its server."""
-        outcomes = await self._run_call(backend, pieces, within_s)
-        troubles = {outcome.trouble for outcome in outcomes}
-        if not troubles <= {PieceTrouble.LOST, PieceTrouble.SILENT}:
+        outcomes = await self._run_call(backend, items, within_s)
+        failures = {outcome.failure for outcome in outcomes}
+        if not failures <= {ItemFailure.LOST, ItemFailure.TIMED_OUT}:
             return outcomes
-        requests = {piece.request for piece in pieces if piece.request}
+        requests = {item.fingerprint for item in items if item.fingerprint}
         await self._poison.note_lost(backend, requests)
-        for piece in pieces:
+        for item in items:
             # What ends servers alone spares the pieces of other requests.
-            ended = self._poison.quarantine.ended_under(piece.request)
-            piece.alone |= len(ended) > 1
-        if PieceTrouble.LOST not in troubles:
+            ended = self._poison.quarantine.ended_under(item.fingerprint)
+            item.isolated |= len(ended) > 1
+        if ItemFailure.LOST not in failures:
             return outcomes
-        return [PieceOutcome(trouble=PieceTrouble.UNREACHED)] * len(pieces)
+        return [ItemOutcome(failure=ItemFailure.UNREACHABLE)] * len(items)
 
-    def _may_repeat(self, service: ServiceName, piece: Piece) -> bool:
-        if self._poison.quarantine.holds(piece.request):
+    def _may_retry(self, service: ServiceName, item: BatchItem) -> bool:
+        if self._poison.quarantine.holds(item.fingerprint):
             return False
-        return self._retries.try_spend(service, piece.request_id)
+        return self._retries.try_spend(service, item.request_id)
 
     async def _free(
         self, service: ServiceName, backend: Backend, handles: list[str]
@@ -170,7 +170,7 @@
         if await self._free_call(backend, handles):
             self.queue(service).free(backend.entry.life, handles)
 
-    def _limits(self, service: ServiceName) -> PieceLimits:
+    def _limits(self, service: ServiceName) -> BatchLimits:
         deployment = self._deployment()
         known = deployment and deployment.service_by_name.get(service)
-        return (known and known.pieces) or UNKNOWN_LIMITS
+        return (known and known.batch_limits) or UNKNOWN_LIMITS
--- a/packages/node/src/eelgrass_node/process/metrics.py
+++ b/packages/node/src/eelgrass_node/process/metrics.py
@@ -99,15 +99,15 @@
         for histogram in (self._request_s, self._staged_s, self._queue_s):
             yield _family(histogram)
 
-    def note_request(self, outcome: str, took_s: float) -> None:
+    def record_request(self, outcome: str, took_s: float) -> None:
         """Take in how a request ended, and after how many seconds."""
         self._request_s.observe(outcome, took_s)
 
-    def note_stages(self, route: str, took_s: float) -> None:
+    def record_stages(self, route: str, took_s: float) -> None:
         """Take in after how many seconds the stages of a request were done."""
         self._staged_s.observe(route, took_s)
 
-    def note_wait(self, service: str, waited_s: float) -> None:
+    def record_wait(self, service: str, waited_s: float) -> None:
         """Take in how many seconds a piece waited for a server."""
         self._queue_s.observe(service, waited_s)
 
--- a/packages/node/src/eelgrass_node/process/overload.py
+++ b/packages/node/src/eelgrass_node/process/overload.py
@@ -22,12 +22,12 @@
         self._since = 0.0
         self._last = float("-inf")
 
-    def note_refusal(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Note that a request was refused."""
         if now - self._last > CALM_S:
             self._since = now
         self._last = now
 
-    def lasted_s(self, now: float) -> float:
+    def duration_s(self, now: float) -> float:
         """Return how long the overload has lasted, nothing where there is none."""
         return now - self._since if now - self._last <= CALM_S else 0.0
--- a/packages/node/src/eelgrass_node/process/owner_checks.py
+++ b/packages/node/src/eelgrass_node/process/owner_checks.py
@@ -11,7 +11,7 @@
 from eelgrass_coordination import Member
 from eelgrass_coordination.ids import NodeId
 
-from .piece_owners import PieceOwners
+from .queue_owners import QueueOwners
 
 __all__ = ["OwnerChecks"]
 
@@ -22,7 +22,7 @@
 class OwnerChecks:
     """The checks of one node; ``probe`` sends a probe to a member."""
 
-    def __init__(self, owners: PieceOwners, probe: Callable[[Member], None]) -> None:
+    def __init__(self, owners: QueueOwners, probe: Callable[[Member], None]) -> None:
         self._owners = owners
         self._probe = probe
         self._running: dict[NodeId, asyncio.Task] = {}
@@ -34,10 +34,10 @@
             self._running[owner.id] = task
             task.add_done_callback(lambda _: self._running.pop(owner.id))
 
-    def note_ack(self, member: Member) -> None:
+    def on_ack(self, member: Member) -> None:
         """Trust an owner again that answers a probe."""
         if member.id in self._running:
-            self._owners.note_answer(member)
+            self._owners.on_answer(member)
 
     def stop(self) -> None:
         """End all checks."""
@@ -45,6 +45,6 @@
             task.cancel()
 
     async def _check(self, owner: Member) -> None:
-        while self._owners.is_distrusted(owner):
+        while self._owners.is_backed_off(owner):
             self._probe(owner)
             await asyncio.sleep(PROBE_AGAIN_S)
--- a/packages/node/src/eelgrass_node/process/queue_load.py
+++ b/packages/node/src/eelgrass_node/process/queue_load.py
@@ -32,13 +32,13 @@
     wait_by_priority: tuple[tuple[int, float], ...] = ()
     late_s: float = 0.0
     overload_s: float = 0.0
-    crowding: tuple[str, ...] = ()
-    crowding_wait_s: float = 0.0
+    over_share_accounts: tuple[str, ...] = ()
+    over_share_wait_s: float = 0.0
 
     def wait_s(self, priority: int, account: str | None = None) -> float:
         """Return the wait of a newcomer of that priority and account."""
-        if account in self.crowding:
-            return self.crowding_wait_s
+        if account in self.over_share_accounts:
+            return self.over_share_wait_s
         waits = [wait for rank, wait in self.wait_by_priority if rank <= priority]
         return waits[-1] if waits else 0.0
 
@@ -50,7 +50,7 @@
         self._clock = clock
         self._heard_by_service: dict[ServiceName, tuple[float, QueueLoad]] = {}
 
-    def hear(self, service: ServiceName, load: QueueLoad) -> None:
+    def receive(self, service: ServiceName, load: QueueLoad) -> None:
         """Take in the load of a queue."""
         self._heard_by_service[service] = (self._clock(), load)
 
--- a/packages/node/src/eelgrass_node/process/piece_owners.py
+++ b/packages/node/src/eelgrass_node/process/queue_owners.py
@@ -19,19 +19,19 @@
 from eelgrass_coordination import Member, ranked
 from eelgrass_coordination.ids import DataCentre, NodeId
 
+from .high_capacity_nodes import high_capacity_nodes
 from .reach import DataCentreReach
-from .strong_nodes import strong_nodes
 
-__all__ = ["PieceOwners"]
+__all__ = ["QueueOwners"]
 
 # An owner that failed is asked again after this long, doubled with each further
 # failure; membership takes some 5 s to find a node dead, and a frozen one wakes
 # after a few.
-DISTRUST_S = 1.5
-MAX_DISTRUST_S = 6.0
+BACKOFF_S = 1.5
+MAX_BACKOFF_S = 6.0
 
 
-class PieceOwners:
+class QueueOwners:
     """The owners of the queues, for the node ``own`` in ``data_centre``.
 
     ``capacity`` is that of this node, in cores like those of the members.
@@ -52,7 +52,7 @@
         self._members = members
         self._reach = reach
         self._clock = clock
-        self._distrusted_until: dict[NodeId, float] = {}
+        self._backed_off_until: dict[NodeId, float] = {}
         self._failures: Counter[NodeId] = Counter()
         self._leaving = False
 
@@ -77,26 +77,26 @@
                 candidates.append(first)
         return [*candidates, None]
 
-    def note_failure(self, owner: Member) -> None:
+    def on_failure(self, owner: Member) -> None:
         """Pass a node over for a while, because it did not answer.
 
         Calls that fail together, as those to a node that stands still, are one failure.
         """
         self._reach.note_silent(owner.data_centre, owner.id)
-        if self.is_distrusted(owner):
+        if self.is_backed_off(owner):
             return
-        distrust_s = min(MAX_DISTRUST_S, DISTRUST_S * 2 ** self._failures[owner.id])
+        backoff_s = min(MAX_BACKOFF_S, BACKOFF_S * 2 ** self._failures[owner.id])
         self._failures[owner.id] += 1
-        self._distrusted_until[owner.id] = self._clock() + distrust_s
+        self._backed_off_until[owner.id] = self._clock() + backoff_s
 
-    def is_distrusted(self, owner: Member) -> bool:
+    def is_backed_off(self, owner: Member) -> bool:
         """Return whether a node is passed over because it did not answer."""
-        return self._clock() < self._distrusted_until.get(owner.id, float("-inf"))
+        return self._clock() < self._backed_off_until.get(owner.id, float("-inf"))
 
-    def note_answer(self, owner: Member) -> None:
+    def on_answer(self, owner: Member) -> None:
         """Trust a node again, because it answered."""
         self._failures.pop(owner.id, None)
-        self._distrusted_until.pop(owner.id, None)
+        self._backed_off_until.pop(owner.id, None)
         self._reach.note_answer(owner.data_centre)
 
     def _first(self, members: list[Member], service: str) -> Member | None:
@@ -104,7 +104,7 @@
         names: list[Member | None] = list(members)
         if not self._leaving or not members:
             names.append(None)
-        strong = strong_nodes(names, self._capacity_of)
+        strong = high_capacity_nodes(names, self._capacity_of)
         return ranked(strong, service, name=self._name)[0]
 
     def _capacity_of(self, member: Member | None) -> float:
@@ -116,4 +116,4 @@
     def _is_trusted(self, member: Member) -> bool:
         if self._reach.in_doubt(member.data_centre):
             return False
-        return not self.is_distrusted(member)
+        return not self.is_backed_off(member)
--- a/packages/node/src/eelgrass_node/process/piece_servers.py
+++ b/packages/node/src/eelgrass_node/process/queue_servers.py
@@ -12,13 +12,13 @@
 from eelgrass_coordination.ids import BackendId
 
 from ..log import Part, log
-from ..version.deployment import PieceLimits
+from ..version.deployment import BatchLimits
 from .backends import Backend, ServerLife
-from .pieces import Piece, PieceOutcome, PieceTrouble
+from .batch_items import BatchItem, ItemFailure, ItemOutcome
 from .reach import DataCentreReach
 from .server_use import ServerUse
 
-__all__ = ["FAILURES", "PieceServers"]
+__all__ = ["SERVER_FAILURES", "QueueServers"]
 
 # Sizes of results are told as about so much. Where a server has less room than
 # they add up to, they are taken for larger, up to a third; the decay forgets
@@ -32,10 +32,12 @@
 # What is kept of servers that are gone, against those that are listed.
 MAX_KEPT_FACTOR = 4
 
-FAILURES = frozenset((PieceTrouble.UNREACHED, PieceTrouble.SILENT, PieceTrouble.FAILED))
+SERVER_FAILURES = frozenset(
+    (ItemFailure.UNREACHABLE, ItemFailure.TIMED_OUT, ItemFailure.FAILED)
+)
 
 
-class PieceServers:
+class QueueServers:
     """The servers of ``service`` as one queue uses them.
 
     ``listed`` returns those that may get work, and ``data_centre_of`` tells
@@ -46,7 +48,7 @@
     def __init__(
         self,
         service: str,
-        limits: Callable[[], PieceLimits],
+        limits: Callable[[], BatchLimits],
         listed: Callable[[], list[Backend]],
         reach: DataCentreReach,
         data_centre_of: Callable[[str], str],
@@ -61,7 +63,7 @@
         self._use_by_life: dict[ServerLife, ServerUse] = {}
         self._size_factor = 1.0
 
-    def sound(self) -> Sequence[Backend]:
+    def healthy(self) -> Sequence[Backend]:
         """Return the most trusted servers there are."""
         return self._reach.sound(self._listed())
 
@@ -84,17 +86,17 @@
     def use_by_id(self, now: float) -> dict[BackendId, dict[str, float]]:
         """Return what the queue has at its sound servers, for a log line."""
         return {
-            server.entry.id: self.use(server).summary(now) for server in self.sound()
+            server.entry.id: self.use(server).summary(now) for server in self.healthy()
         }
 
-    def call_s(self, pieces: int) -> float:
+    def call_s(self, items: int) -> float:
         """Return the expected seconds of a call with that many pieces."""
         limits = self._limits()
-        return limits.call_s + limits.piece_s * pieces
+        return limits.call_s + limits.item_s * items
 
-    def size(self, piece: Piece) -> float:
+    def size(self, item: BatchItem) -> float:
         """Return the bytes that the result of a piece is expected to take."""
-        return piece.result_bytes * self._size_factor
+        return item.result_bytes * self._size_factor
 
     def room(self, server: Backend, now: float) -> float:
         """Return the bytes that a server has left for results."""
@@ -102,11 +104,11 @@
 
     def slots(self) -> int:
         """Return how many calls the sound servers run at a time, at least 1."""
-        return max(1, len(self.sound()) * self._limits().slots)
+        return max(1, len(self.healthy()) * self._limits().slots)
 
     def expected_wait(self, ahead: int, now: float) -> float:
         """Return the seconds until a piece behind ``ahead`` others is taken."""
-        servers = self.sound()
+        servers = self.healthy()
         if not servers:
             return math.inf
         batch = self._limits().batch
@@ -117,7 +119,7 @@
     def idle(self, waiting: int, now: float) -> list[Backend]:
         """Return the idle servers that are worth a call, the fastest first."""
         slots = self._limits().slots
-        idle = [s for s in self.sound() if self.use(s).calls < slots]
+        idle = [s for s in self.healthy() if self.use(s).calls < slots]
         useful = [server for server in idle if self._is_useful(server, waiting, now)]
         return sorted(useful, key=lambda server: self.use(server).slowness(now))
 
@@ -127,7 +129,7 @@
         An idle one without room for results of ``size`` bytes counts as one that
         is not there; where there is none, the wait is infinite.
         """
-        near = [s for s in self.sound() if s.entry.data_centre == data_centre]
+        near = [s for s in self.healthy() if s.entry.data_centre == data_centre]
         return min(
             (self._wait_for(server, size, now) for server in near), default=math.inf
         )
@@ -138,36 +140,36 @@
             return max(0.0, use.free_at - now)
         return 0.0 if self.room(server, now) >= size else math.inf
 
-    def inputs_lost(self, piece: Piece) -> bool:
+    def inputs_lost(self, item: BatchItem) -> bool:
         """Return whether inputs of a piece are gone, or probably out of reach."""
-        if any(self._is_over(maker) for maker in piece.makers):
+        if any(self._is_over(producer) for producer in item.producers):
             return True
-        return any(self._reach.in_doubt(place) for place in self._places(piece))
+        return any(self._reach.in_doubt(place) for place in self._places(item))
 
-    def note_call(
+    def record_call(
         self,
         server: Backend,
-        batch: list[Piece],
-        outcomes: list[PieceOutcome],
+        batch: list[BatchItem],
+        outcomes: list[ItemOutcome],
         took_s: float,
     ) -> None:
         """Take in how a call ended and how long it took, in seconds."""
-        troubles = {outcome.trouble for outcome in outcomes}
+        failures = {outcome.failure for outcome in outcomes}
         use = self.use(server)
-        if PieceTrouble.SILENT in troubles:
+        if ItemFailure.TIMED_OUT in failures:
             self._note_silent(server, batch)
         else:
             self._reach.note_answer(server.entry.data_centre)
-        if PieceTrouble.UNREACHED not in troubles:
+        if ItemFailure.UNREACHABLE not in failures:
             use.note_call(took_s / self.call_s(len(batch)), _now())
         # A server that works fails single pieces now and then.
-        if troubles <= FAILURES:
-            if not self._hangs_on_inputs(server, batch, troubles):
+        if failures <= SERVER_FAILURES:
+            if not self._hangs_on_inputs(server, batch, failures):
                 server.suspect()
             self._log_call("A call failed.", server, batch, outcomes, took_s)
             return
         server.note_taken(took_s)
-        if PieceTrouble.NO_ROOM in troubles:
+        if ItemFailure.NO_ROOM in failures:
             self._note_full(use)
             self._log_call("No room for results.", server, batch, outcomes, took_s)
         else:
@@ -179,7 +181,7 @@
         A server that is five times as slow is worth a call only where so many
         pieces wait that the others would need as long.
         """
-        others = [self.use(other) for other in self.sound() if other is not server]
+        others = [self.use(other) for other in self.healthy() if other is not server]
         if not others:
             return True
         batch = self._limits().batch
@@ -204,28 +206,28 @@
         rest = self._limits().memory_bytes - use.held_bytes(now)
         use.hold(UNKNOWN_RESULTS, int(rest), now + UNKNOWN_RESULTS_S)
 
-    def _note_silent(self, server: Backend, batch: list[Piece]) -> None:
+    def _note_silent(self, server: Backend, batch: list[BatchItem]) -> None:
         """Note which data centres a call that went silent puts in doubt.
 
         The server may be out of reach, or those that hold its inputs from it.
         """
-        for piece in batch:
-            piece.alone = True
-            for place in self._places(piece) - {server.entry.data_centre}:
-                self._reach.note_silent(place, piece.inputs[0])
+        for item in batch:
+            item.isolated = True
+            for place in self._places(item) - {server.entry.data_centre}:
+                self._reach.note_silent(place, item.inputs[0])
         self._reach.note_silent(server.entry.data_centre, server.entry.id)
 
     def _hangs_on_inputs(
-        self, server: Backend, batch: list[Piece], troubles: set[PieceTrouble | None]
+        self, server: Backend, batch: list[BatchItem], failures: set[ItemFailure | None]
     ) -> bool:
         """Return whether a silent call may be the fault of inputs from elsewhere."""
         own = {server.entry.data_centre}
-        foreign = any(self._places(piece) - own for piece in batch)
-        return foreign and PieceTrouble.SILENT in troubles
+        foreign = any(self._places(item) - own for item in batch)
+        return foreign and ItemFailure.TIMED_OUT in failures
 
-    def _places(self, piece: Piece) -> set[str]:
+    def _places(self, item: BatchItem) -> set[str]:
         """Return the data centres that hold the inputs of a piece."""
-        return {self._data_centre_of(handle) for handle in piece.inputs}
+        return {self._data_centre_of(handle) for handle in item.inputs}
 
     def _forget_gone(self) -> None:
         """Drop what is known of servers that are no longer listed."""
@@ -238,11 +240,11 @@
         self,
         sentence: str,
         server: Backend,
-        batch: list[Piece],
-        outcomes: list[PieceOutcome],
+        batch: list[BatchItem],
+        outcomes: list[ItemOutcome],
         took_s: float,
     ) -> None:
-        troubles = Counter(o.trouble.value for o in outcomes if o.trouble)
+        failures = Counter(o.failure.value for o in outcomes if o.failure)
         log(
             Part.PIECES,
             sentence,
@@ -250,9 +252,9 @@
             backend=server.entry.id,
             pieces=len(batch),
             took_s=round(took_s, 3),
-            troubles=dict(troubles),
+            troubles=dict(failures),
             held_mb=round(self.use(server).held_bytes(_now()) / 1e6, 2),
-            requests=sorted({piece.request_id for piece in batch}),
+            requests=sorted({item.request_id for item in batch}),
         )
 
 
--- a/packages/node/src/eelgrass_node/process/freed_results.py
+++ b/packages/node/src/eelgrass_node/process/result_release.py
@@ -16,10 +16,10 @@
 from ..exceptions import PeerUnreachable
 from ..log import Part, log
 from ..version.deployment import ServiceName
-from .piece_owners import PieceOwners
-from .piece_service import LocalPieces
+from .local_queues import LocalQueues
+from .queue_owners import QueueOwners
 
-__all__ = ["FreedResults", "ResultsClient"]
+__all__ = ["ResultReleaser", "ResultsClient"]
 
 # The owner of the queue is given this long; then the results are freed without it.
 OWNER_ANSWERS_S = 0.15
@@ -38,7 +38,7 @@
         """Have results freed there; raises :class:`PeerUnreachable`."""
 
 
-class FreedResults:
+class ResultReleaser:
     """Frees the results that this node's requests need no more.
 
     ``known`` returns a node of which was heard. ``note_silent`` is told of owners that
@@ -47,8 +47,8 @@
 
     def __init__(
         self,
-        owners: PieceOwners,
-        local: LocalPieces,
+        owners: QueueOwners,
+        local: LocalQueues,
         client: ResultsClient,
         known: Callable[[NodeId], Member | None],
         note_silent: Callable[[Member], None],
@@ -90,7 +90,7 @@
                 self._local.free(service, handles)
                 self._note_silent(owner)
             await telling
-            self._owners.note_answer(owner)
+            self._owners.on_answer(owner)
         except PeerUnreachable as error:
             self._count("handoff.failed")
             log(
--- a/packages/node/src/eelgrass_node/process/shared_pieces.py
+++ b/packages/node/src/eelgrass_node/process/shared_queues.py
@@ -16,26 +16,26 @@
 from ..exceptions import PeerUnreachable
 from ..log import Part, log
 from ..version.deployment import ServiceName
-from .freed_results import FreedResults, ResultsClient
+from .batch_items import BatchItem, ItemOutcome
+from .local_queues import LocalQueues
 from .owner_checks import OwnerChecks
-from .piece_owners import PieceOwners
-from .piece_service import LocalPieces
-from .pieces import Piece, PieceOutcome
 from .queue_load import QueueLoad
+from .queue_owners import QueueOwners
+from .result_release import ResultReleaser, ResultsClient
 
-__all__ = ["Handoff", "SharedPieces"]
+__all__ = ["Handoff", "SharedQueues"]
 
 
 class Handoff(ResultsClient, Protocol):
     """How pieces get to another node."""
 
     async def run(
-        self, address: str, service: ServiceName, pieces: list[Piece]
-    ) -> list[PieceOutcome]:
+        self, address: str, service: ServiceName, items: list[BatchItem]
+    ) -> list[ItemOutcome]:
         """Have pieces run there; raises :class:`PeerUnreachable`."""
 
 
-class SharedPieces:
+class SharedQueues:
     """Runs pieces through the owners of their queues.
 
     ``hear_load`` is told the load of queues of this node, ``known`` returns a node of
@@ -45,10 +45,10 @@
 
     def __init__(
         self,
-        owners: PieceOwners,
-        local: LocalPieces,
+        owners: QueueOwners,
+        local: LocalQueues,
         handoff: Handoff,
-        hear_load: Callable[[ServiceName, QueueLoad], None],
+        on_load: Callable[[ServiceName, QueueLoad], None],
         known: Callable[[NodeId], Member | None],
         probe: Callable[[Member], None],
         count: Callable[[str], None],
@@ -56,28 +56,28 @@
         self._owners = owners
         self._local = local
         self._handoff = handoff
-        self._hear_load = hear_load
+        self._on_load = on_load
         self._count = count
         self.checks = OwnerChecks(owners, probe)
-        self.freed = FreedResults(
+        self.results = ResultReleaser(
             owners, local, handoff, known, self._note_silent, count
         )
 
     async def run(
-        self, service: ServiceName, pieces: list[Piece]
-    ) -> list[PieceOutcome]:
+        self, service: ServiceName, items: list[BatchItem]
+    ) -> list[ItemOutcome]:
         """Run pieces of one stage and return their outcomes, in order."""
         for owner in self._owners.candidates(service):
             if owner is None:
                 break
             try:
-                outcomes = await self._handoff.run(owner.internal, service, pieces)
-                self._owners.note_answer(owner)
+                outcomes = await self._handoff.run(owner.internal, service, items)
+                self._owners.on_answer(owner)
                 return [_held_by(owner, outcome) for outcome in outcomes]
             except PeerUnreachable as error:
                 self._note_failure(owner, service, error)
-        outcomes = await self._local.run(service, pieces)
-        self._hear_load(service, self._local.load(service))
+        outcomes = await self._local.run(service, items)
+        self._on_load(service, self._local.load(service))
         return outcomes
 
     def _note_failure(
@@ -86,7 +86,7 @@
         if error.silent:
             self._note_silent(owner)
         else:
-            self._owners.note_failure(owner)
+            self._owners.on_failure(owner)
         self._count("handoff.failed")
         log(
             Part.PIECES,
@@ -97,11 +97,11 @@
         )
 
     def _note_silent(self, owner: Member) -> None:
-        self._owners.note_failure(owner)
+        self._owners.on_failure(owner)
         self.checks.check(owner)
 
 
-def _held_by(owner: Member, outcome: PieceOutcome) -> PieceOutcome:
+def _held_by(owner: Member, outcome: ItemOutcome) -> ItemOutcome:
     """Return an outcome that names the queue that counts its result."""
     if outcome.handle is None:
         return outcome
--- a/packages/node/src/eelgrass_node/process/table_relay.py
+++ b/packages/node/src/eelgrass_node/process/table_relay.py
@@ -22,8 +22,8 @@
 
 from ..exceptions import PeerUnreachable, StoreUnavailable
 from ..log import Part, log
+from .high_capacity_nodes import high_capacity_nodes
 from .store_tables import FollowedTable, StoredRow, TableChanges, TableReader
-from .strong_nodes import strong_nodes
 
 __all__ = ["RelayedReader", "StoreReader", "TableRelay", "relay_of", "relays_of"]
 
@@ -69,7 +69,7 @@
         for member in members
         if member.data_centre == own.data_centre and member.state is MemberState.ALIVE
     ]
-    able = strong_nodes([*near, own], lambda member: member.capacity)
+    able = high_capacity_nodes([*near, own], lambda member: member.capacity)
     order = ranked(able, f"table/{table}", name=lambda member: member.id)
     before_own = takewhile(lambda member: member.id != own.id, order)
     return list(islice(before_own, RELAYS))
--- a/packages/node/src/eelgrass_node/process/waiting_sets.py
+++ b/packages/node/src/eelgrass_node/process/waiting_sets.py
@@ -11,11 +11,11 @@
 import asyncio
 from collections.abc import Iterable, Iterator, Sequence
 
-from .pieces import Piece, PieceOutcome
+from .batch_items import BatchItem, ItemOutcome
 
 __all__ = ["WaitingSets"]
 
-Outcome = asyncio.Future[PieceOutcome]
+Outcome = asyncio.Future[ItemOutcome]
 SetKey = tuple[str, int, tuple[str, ...]]
 
 
@@ -31,50 +31,50 @@
     """
 
     def __init__(self) -> None:
-        self._sets: dict[SetKey, dict[Piece, Outcome]] = {}
+        self._sets: dict[SetKey, dict[BatchItem, Outcome]] = {}
         self._count = 0
 
     def __len__(self) -> int:
         """Return how many pieces wait."""
         return self._count
 
-    def __iter__(self) -> Iterator[Sequence[Piece]]:
+    def __iter__(self) -> Iterator[Sequence[BatchItem]]:
         """Go over the sets, each as its waiting pieces; they may change meanwhile."""
         for waiting in list(self._sets.values()):
             if waiting:
                 yield tuple(waiting)
 
-    def add(self, piece: Piece, future: Outcome) -> None:
+    def add(self, item: BatchItem, future: Outcome) -> None:
         """Let a piece wait, for the first time or again."""
-        self._sets.setdefault(_key(piece), {})[piece] = future
+        self._sets.setdefault(_key(item), {})[item] = future
         self._count += 1
 
-    def take(self, batch: Sequence[Piece]) -> dict[Piece, Outcome]:
+    def take(self, batch: Sequence[BatchItem]) -> dict[BatchItem, Outcome]:
         """Take pieces out for a call; the rest of their sets has begun."""
-        future_by_piece = {}
-        for piece in batch:
-            future_by_piece[piece] = self._sets[_key(piece)][piece]
+        future_by_item = {}
+        for item in batch:
+            future_by_item[item] = self._sets[_key(item)][item]
         self.withdraw(batch)
-        for key in {_key(piece) for piece in batch}:
+        for key in {_key(item) for item in batch}:
             for rest in self._sets.get(key, ()):
-                rest.begun = True
-        return future_by_piece
+                rest.set_started = True
+        return future_by_item
 
-    def withdraw(self, pieces: Iterable[Piece]) -> None:
+    def withdraw(self, items: Iterable[BatchItem]) -> None:
         """Take pieces out that wait no longer; others are passed over."""
-        for piece in pieces:
-            key = _key(piece)
+        for item in items:
+            key = _key(item)
             waiting = self._sets.get(key)
-            if waiting is None or waiting.pop(piece, None) is None:
+            if waiting is None or waiting.pop(item, None) is None:
                 continue
             self._count -= 1
             if not waiting:
                 del self._sets[key]
 
-    def futures(self, pieces: Iterable[Piece]) -> list[tuple[Piece, Outcome]]:
+    def futures(self, items: Iterable[BatchItem]) -> list[tuple[BatchItem, Outcome]]:
         """Return waiting pieces with their futures."""
-        return [(piece, self._sets[_key(piece)][piece]) for piece in pieces]
+        return [(item, self._sets[_key(item)][item]) for item in items]
 
 
-def _key(piece: Piece) -> SetKey:
-    return (piece.request_id, piece.stage, piece.inputs)
+def _key(item: BatchItem) -> SetKey:
+    return (item.request_id, item.stage, item.inputs)
--- a/packages/node/src/eelgrass_node/request/arrival.py
+++ b/packages/node/src/eelgrass_node/request/arrival.py
@@ -63,13 +63,13 @@
     caller_deadline_s: float | None
     api_key: str | None
     last_event_id: str | None
-    piece_counts: tuple[int, ...]
-    piece_key: str
+    item_counts: tuple[int, ...]
+    item_key: str
     prompt: PromptShape
 
-    def pieces_of(self, stage: int) -> int:
+    def item_count(self, stage: int) -> int:
         """Return the number of pieces of a stage; none where it is left out."""
-        counts = self.piece_counts
+        counts = self.item_counts
         return counts[stage] if stage < len(counts) else 0
 
 
--- a/packages/node/src/eelgrass_node/request/graph.py
+++ b/packages/node/src/eelgrass_node/request/graph.py
@@ -14,14 +14,14 @@
 
 from ..exceptions import StagesFailed
 from ..process.backends import ServerLife
+from ..process.batch_items import BatchItem, ItemFailure, ItemOutcome
 from ..process.ended_servers import Fingerprint
-from ..process.pieces import Piece, PieceOutcome, PieceTrouble
-from ..version.deployment import PieceStage, ServiceName
+from ..version.deployment import BatchStage, ServiceName
 from .arrival import Routed
 
-__all__ = ["FreeResults", "RunPieces", "StageGraph", "StagePlan"]
+__all__ = ["FreeResults", "RunItems", "StageGraph", "StagePlan"]
 
-RunPieces = Callable[[ServiceName, list[Piece]], Awaitable[list[PieceOutcome]]]
+RunItems = Callable[[ServiceName, list[BatchItem]], Awaitable[list[ItemOutcome]]]
 # Frees results; the node, if any, is the one whose queue counts their memory.
 FreeResults = Callable[[ServiceName, list[str], NodeId | None], None]
 
@@ -55,7 +55,7 @@
     """
 
     handle: str
-    maker: ServerLife | None
+    producer: ServerLife | None
     owner: NodeId | None
 
 
@@ -70,7 +70,7 @@
         self,
         routed: Routed,
         plan: StagePlan,
-        run_pieces: RunPieces,
+        run_items: RunItems,
         free: FreeResults,
         data_centre_of: Callable[[str], str],
         is_over: Callable[[ServerLife], bool],
@@ -79,13 +79,13 @@
         self._fingerprint = fingerprint
         self._routed = routed
         self._plan = plan
-        self._run_pieces = run_pieces
+        self._run_items = run_items
         self._free = free
         self._data_centre_of = data_centre_of
         self._done: set[int] = set()
         self.released = False
         self._is_over = is_over
-        self._result_by_piece: dict[tuple[int, int], _Result] = {}
+        self._result_by_item: dict[tuple[int, int], _Result] = {}
 
     async def run(self) -> tuple[str, ...]:
         """Make what is missing; return the handles for the request itself.
@@ -99,7 +99,7 @@
                 return self._handles(self._routed.route.final_stages())
             except _ResultsGone:
                 self.release()
-        raise StagesFailed(PieceTrouble.INPUT_GONE, 0.0)
+        raise StagesFailed(ItemFailure.INPUT_GONE, 0.0)
 
     def inputs_at(self, stages: tuple[int, ...]) -> str:
         """Return the data centre with most bytes of the results of ``stages``.
@@ -107,7 +107,7 @@
         Nothing is returned where they are too small to matter.
         """
         bytes_by_place: Counter[str] = Counter()
-        for (stage, _), result in self._result_by_piece.items():
+        for (stage, _), result in self._result_by_item.items():
             if stage in stages:
                 size = self._routed.route.stages[stage].result_bytes
                 bytes_by_place[self._data_centre_of(result.handle)] += size
@@ -118,8 +118,8 @@
     def outdated(self) -> bool:
         """Return whether a server that held a result has started again."""
         return any(
-            result.maker is not None and self._is_over(result.maker)
-            for result in self._result_by_piece.values()
+            result.producer is not None and self._is_over(result.producer)
+            for result in self._result_by_item.values()
         )
 
     def release(self) -> None:
@@ -139,18 +139,18 @@
             raise failures.exceptions[0] from None
 
     async def _run_stage(
-        self, number: int, stage: PieceStage, done: list[asyncio.Event]
+        self, number: int, stage: BatchStage, done: list[asyncio.Event]
     ) -> None:
         for before in self._plan.begin_after[number]:
             await done[before].wait()
         missing = [
-            piece
-            for piece in range(self._routed.arrival.pieces_of(number))
-            if number not in self._done and (number, piece) not in self._result_by_piece
+            item
+            for item in range(self._routed.arrival.item_count(number))
+            if number not in self._done and (number, item) not in self._result_by_item
         ]
         if missing:
-            pieces = self._pieces(number, stage, missing)
-            outcomes = await self._run_pieces(stage.service, pieces)
+            items = self._items(number, stage, missing)
+            outcomes = await self._run_items(stage.service, items)
             self._take(number, missing, outcomes)
         self._done.add(number)
         done[number].set()
@@ -170,59 +170,61 @@
             if self._done.issuperset(followers):
                 self._release_stage(before, self._routed.route.stages[before])
 
-    def _release_stage(self, number: int, stage: PieceStage) -> None:
-        keys = [key for key in self._result_by_piece if key[0] == number]
-        results = [self._result_by_piece.pop(key) for key in keys]
+    def _release_stage(self, number: int, stage: BatchStage) -> None:
+        keys = [key for key in self._result_by_item if key[0] == number]
+        results = [self._result_by_item.pop(key) for key in keys]
         # Under its handle a server that has started again may hold another result.
-        held = [r for r in results if r.maker is None or not self._is_over(r.maker)]
+        held = [
+            r for r in results if r.producer is None or not self._is_over(r.producer)
+        ]
         for owner in {result.owner for result in held}:
             handles = [result.handle for result in held if result.owner == owner]
             self._free(stage.service, handles, owner)
 
     def _take(
-        self, number: int, missing: list[int], outcomes: list[PieceOutcome]
+        self, number: int, missing: list[int], outcomes: list[ItemOutcome]
     ) -> None:
-        for piece, outcome in zip(missing, outcomes, strict=True):
+        for item, outcome in zip(missing, outcomes, strict=True):
             if outcome.handle is not None:
-                result = _Result(outcome.handle, outcome.maker, outcome.owner)
-                self._result_by_piece[number, piece] = result
-        troubles = [outcome for outcome in outcomes if outcome.trouble is not None]
-        if not troubles:
+                result = _Result(outcome.handle, outcome.producer, outcome.owner)
+                self._result_by_item[number, item] = result
+        failures = [outcome for outcome in outcomes if outcome.failure is not None]
+        if not failures:
             return
-        if any(o.trouble is PieceTrouble.INPUT_GONE for o in troubles):
+        if any(o.failure is ItemFailure.INPUT_GONE for o in failures):
             raise _ResultsGone
-        first = troubles[0]
-        raise StagesFailed(first.trouble, first.retry_after_s)
+        first = failures[0]
+        raise StagesFailed(first.failure, first.retry_after_s)
 
-    def _pieces(
-        self, number: int, stage: PieceStage, numbers: list[int]
-    ) -> list[Piece]:
+    def _items(
+        self, number: int, stage: BatchStage, numbers: list[int]
+    ) -> list[BatchItem]:
         routed = self._routed
         inputs = self._handles(stage.after)
-        makers = {result.maker for result in self._results(stage.after)}
-        known_makers = tuple(makers - {None})
+        producers = {result.producer for result in self._results(stage.after)}
+        known_producers = tuple(producers - {None})
         near = self._near(stage)
         return [
-            Piece(
+            BatchItem(
                 request_id=routed.arrival.request_id,
                 stage=number,
-                number=piece,
-                key=None if stage.after else routed.arrival.piece_key,
+                number=item,
+                key=None if stage.after else routed.arrival.item_key,
                 inputs=inputs,
                 deadline=self._plan.deadline_by_stage[number],
                 due=self._plan.due_by_stage[number],
                 priority=routed.priority,
                 result_bytes=stage.result_bytes,
-                near=near,
-                makers=known_makers,
+                preferred_data_centre=near,
+                producers=known_producers,
                 account=routed.account_name,
-                request=self._fingerprint,
+                fingerprint=self._fingerprint,
                 regions=routed.regions,
             )
-            for piece in numbers
+            for item in numbers
         ]
 
-    def _near(self, stage: PieceStage) -> str:
+    def _near(self, stage: BatchStage) -> str:
         """Return where a piece is best run, if that matters.
 
         Each piece fetches all results of the stages before it, so these weigh
@@ -244,9 +246,9 @@
 
     def _results(self, stages: tuple[int, ...]) -> list[_Result]:
         return [
-            self._result_by_piece[stage, piece]
+            self._result_by_item[stage, item]
             for stage in stages
-            for piece in range(self._routed.arrival.pieces_of(stage))
+            for item in range(self._routed.arrival.item_count(stage))
         ]
 
 
--- a/packages/node/src/eelgrass_node/request/planning.py
+++ b/packages/node/src/eelgrass_node/request/planning.py
@@ -1,8 +1,8 @@
 """When each stage of a request should be done, and whether it can be at all."""
 
-from ..process.piece_queue import LATE_BACKLOG_S
+from ..process.batch_queue import LATE_BACKLOG_S
 from ..process.queue_load import QueueLoads
-from ..version.deployment import Deployment, PieceStage, Service
+from ..version.deployment import BatchStage, Deployment, Service
 from .arrival import Routed
 from .graph import LARGE_BYTES, StagePlan
 
@@ -31,7 +31,7 @@
     final_s = _kept_s(routed, final_s)
     took_s = [
         expected_s(deployment.service_by_name.get(stage.service))
-        if routed.arrival.pieces_of(number)
+        if routed.arrival.item_count(number)
         else 0.0
         for number, stage in enumerate(stages)
     ]
@@ -54,7 +54,7 @@
     ends = []
     for number, stage in enumerate(routed.route.stages):
         begins = max((ends[before] for before in stage.after), default=arrived_at)
-        if routed.arrival.pieces_of(number):
+        if routed.arrival.item_count(number):
             service = deployment.service_by_name.get(stage.service)
             begins += full_call_s(service) + loads.wait_s(
                 stage.service, routed.priority, routed.account_name
@@ -100,7 +100,7 @@
 
 
 def _ends(
-    stages: tuple[PieceStage, ...], took_s: list[float], whole: float
+    stages: tuple[BatchStage, ...], took_s: list[float], whole: float
 ) -> tuple[float, ...]:
     """Return when each stage must end for all of them to end at ``whole``."""
     ends = [whole] * len(stages)
@@ -111,7 +111,7 @@
 
 
 def begin_after(
-    stages: tuple[PieceStage, ...], took_s: list[float]
+    stages: tuple[BatchStage, ...], took_s: list[float]
 ) -> tuple[tuple[int, ...], ...]:
     """Return, for each stage, the stages that it should wait for.
 
@@ -147,7 +147,7 @@
 
 def full_call_s(service: Service | None) -> float:
     """Return the seconds of a full call to a service."""
-    if service is None or service.pieces is None:
+    if service is None or service.batch_limits is None:
         return UNKNOWN_STAGE_S
-    limits = service.pieces
-    return limits.call_s + limits.piece_s * limits.batch
+    limits = service.batch_limits
+    return limits.call_s + limits.item_s * limits.batch
--- a/packages/node/src/eelgrass_node/request/routed.py
+++ b/packages/node/src/eelgrass_node/request/routed.py
@@ -22,8 +22,8 @@
 )
 from ..log import Part, log
 from ..process.backends import Backend, ServerLife
+from ..process.batch_items import BatchItem, ItemOutcome
 from ..process.ended_servers import Fingerprint
-from ..process.pieces import Piece, PieceOutcome
 from ..process.server_choice import ServerWish
 from ..version.deployment import RouteKind, ServiceName
 from .admitted import admitted_server
@@ -97,7 +97,7 @@
         self._graph = StageGraph(
             routed,
             parts.plan(routed),
-            self._run_pieces,
+            self._run_items,
             parts.free_results,
             parts.data_centre_of,
             parts.is_over,
@@ -128,7 +128,7 @@
         inputs = await self._run_stages()
         self._staged_at, self._staged_awake = _now(), running_time()
         if self._routed.route.stages:
-            self._parts.metrics.note_stages(self._routed.route.name, self._age_s())
+            self._parts.metrics.record_stages(self._routed.route.name, self._age_s())
         while True:
             out_of_reach = self._parts.reach.in_doubt(self._inputs_at())
             if out_of_reach or self._graph.outdated():
@@ -160,15 +160,15 @@
             return await self._graph.run()
         except StagesFailed as failed:
             raise RequestRefused(
-                f"stages: {failed.trouble.value}",
+                f"stages: {failed.failure.value}",
                 max(failed.retry_after_s, RETRY_FULL_S),
             ) from failed
 
-    async def _run_pieces(
-        self, service: ServiceName, pieces: list[Piece]
-    ) -> list[PieceOutcome]:
+    async def _run_items(
+        self, service: ServiceName, items: list[BatchItem]
+    ) -> list[ItemOutcome]:
         self._check_quarantine()
-        return await self._parts.run_pieces(service, pieces)
+        return await self._parts.run_items(service, items)
 
     @cached_property
     def _fingerprint(self) -> Fingerprint:
@@ -393,7 +393,7 @@
             **fields,
         )
         outcome = sentence.rstrip(".").lower().replace(" ", "_")
-        self._parts.metrics.note_request(outcome, self._age_s())
+        self._parts.metrics.record_request(outcome, self._age_s())
 
 
 def _now() -> float:
--- a/packages/node/src/eelgrass_node/request/serving_parts.py
+++ b/packages/node/src/eelgrass_node/request/serving_parts.py
@@ -13,7 +13,7 @@
 from ..process.warm_up import Permit
 from .arrival import Routed, WireCodec
 from .final_times import FinalTimes
-from .graph import FreeResults, RunPieces, StagePlan
+from .graph import FreeResults, RunItems, StagePlan
 
 __all__ = ["ServingParts"]
 
@@ -38,7 +38,7 @@
     is_over: Callable[[ServerLife], bool]
     plan: Callable[[Routed], StagePlan]
     refuse_hopeless: Callable[[Routed], float | None]
-    run_pieces: RunPieces
+    run_items: RunItems
     free_results: FreeResults
     final_times: FinalTimes
     retries: RetryBudgets
--- a/packages/node/src/eelgrass_node/version/deployment.py
+++ b/packages/node/src/eelgrass_node/version/deployment.py
@@ -22,8 +22,8 @@
     "CallerLimits",
     "Deployment",
     "ModelLimits",
-    "PieceLimits",
-    "PieceStage",
+    "BatchLimits",
+    "BatchStage",
     "Route",
     "RouteKind",
     "Service",
@@ -49,7 +49,7 @@
     weight: float = 1.0
 
 
-class PieceStage(msgspec.Struct, frozen=True):
+class BatchStage(msgspec.Struct, frozen=True):
     """A stage that must have run before a request can.
 
     ``after`` holds the numbers of the stages whose results it needs;
@@ -79,7 +79,7 @@
     priority: int
     services: tuple[WeightedService, ...]
     max_attempts: int
-    stages: tuple[PieceStage, ...]
+    stages: tuple[BatchStage, ...]
     public: bool
     resumable: bool
     regions: frozenset[str] = frozenset()
@@ -123,7 +123,7 @@
         return tokens * self.token_bytes / self.link_bytes_per_s
 
 
-class PieceLimits(msgspec.Struct, frozen=True):
+class BatchLimits(msgspec.Struct, frozen=True):
     """What one backend server that runs stages takes.
 
     ``slots`` calls run at a time, ``queue`` more may wait, each with up to
@@ -135,7 +135,7 @@
     queue: int
     batch: int
     call_s: float
-    piece_s: float
+    item_s: float
     memory_bytes: float
     result_life_s: float
 
@@ -150,7 +150,7 @@
     name: ServiceName
     max_connections: int
     model: ModelLimits | None = None
-    pieces: PieceLimits | None = None
+    batch_limits: BatchLimits | None = None
     warm_up_s: float = 0.0
     warm_up_per_s: float = 0.0
 
--- a/packages/node/tests/test_account_shares.py
+++ b/packages/node/tests/test_account_shares.py
@@ -12,26 +12,26 @@
     AccountShares,
     fair_level,
 )
-from eelgrass_node.process.pieces import Piece
+from eelgrass_node.process.batch_items import BatchItem
 from eelgrass_node.process.queue_load import QueueLoad
-from eelgrass_node.version.deployment import PieceLimits
-from support.pieces import Service, now, pieces, server
+from eelgrass_node.version.deployment import BatchLimits
+from support.batching import Service, items, now, server
 from support.simulated_time import run_in_simulated_time
 
 # The first stage of the users' largest kind of request.
-LIMITS = PieceLimits(
+LIMITS = BatchLimits(
     slots=1,
     queue=2,
     batch=8,
     call_s=0.15,
-    piece_s=0.016,
+    item_s=0.016,
     memory_bytes=45e6,
     result_life_s=4.0,
 )
 DUE_S = 1.3
 SERVERS = 6
 # What so many servers can do in a second, in full calls and sets of two.
-SETS_PER_S = SERVERS * 4 / (LIMITS.call_s + 8 * LIMITS.piece_s)
+SETS_PER_S = SERVERS * 4 / (LIMITS.call_s + 8 * LIMITS.item_s)
 QUIET = [f"quiet-{number}" for number in range(6)]
 # A fifth of the servers' time between them.
 USUAL = {account: SETS_PER_S * 0.2 / len(QUIET) for account in QUIET}
@@ -69,7 +69,7 @@
                 await asyncio.sleep(1 / rate)
 
     async def _one(self, account, number):
-        sent = pieces(
+        sent = items(
             f"{account}/{number}",
             2,
             DUE_S,
@@ -148,11 +148,11 @@
             for account, work in work_by_account.items():
                 self._ask(account, work * self.STEP_S)
             # Half of a call is its fixed time.
-            self.shares.note_call(0.5 * self._call_s, self._call_s)
-            self.shares.mark(self.waiting, lambda count: 0.0, 1, self.at)
+            self.shares.record_call(0.5 * self._call_s, self._call_s)
+            self.shares.update(self.waiting, lambda count: 0.0, 1, self.at)
 
     def _ask(self, account, work_s):
-        piece = Piece(
+        item = BatchItem(
             request_id=f"{account}/{self.at}",
             stage=0,
             number=0,
@@ -165,13 +165,13 @@
             account=account,
             queued_at=self.at,
         )
-        self.waiting.append([piece])
-        self.shares.note_asked([piece], work_s, self.at)
-        self.shares.note_given(account, work_s, self.at)
+        self.waiting.append([item])
+        self.shares.record_demand([item], work_s, self.at)
+        self.shares.record_work(account, work_s, self.at)
 
-    def beyond(self):
+    def over_share(self):
         """Return the accounts of which something that waits is beyond their share."""
-        return {pieces[0].account for pieces in self.waiting if pieces[0].beyond}
+        return {items[0].account for items in self.waiting if items[0].over_share}
 
 
 class TestLoad:
@@ -193,12 +193,12 @@
     def test_a_single_account_has_no_share(self):
         demand = Demand()
         demand.ask({"only": 4.0}, for_s=4.0)
-        assert demand.beyond() == set()
+        assert demand.over_share() == set()
 
     def test_requests_without_an_account_are_never_beyond_a_share(self):
         demand = Demand()
         demand.ask({"a": 0.1, None: 4.0}, for_s=4.0)
-        assert demand.beyond() == set()
+        assert demand.over_share() == set()
 
 
 class TestShares:
@@ -213,36 +213,36 @@
         """After two time constants, whatever a call takes."""
         demand = Demand(call_s)
         demand.ask({"quiet": 0.05, "flood": 2.0}, for_s=2 * FADE_S)
-        assert demand.beyond() == {"flood"}
+        assert demand.over_share() == {"flood"}
 
     async def test_a_service_that_has_failed_for_hours_is_shared_again(self):
         shares = AccountShares()
         for _ in range(10_000):
-            shares.note_call(0.0, 1.0)
-        sets = [pieces(name, 1, account=name) for name in ("a", "b")]
+            shares.record_call(0.0, 1.0)
+        sets = [items(name, 1, account=name) for name in ("a", "b")]
         for waiting in sets:
-            shares.note_asked(waiting, 1.0, now())
-        shares.mark(sets, lambda count: 1.0, 1, now())
+            shares.record_demand(waiting, 1.0, now())
+        shares.update(sets, lambda count: 1.0, 1, now())
         for _ in range(50):
-            shares.note_call(1.0, 1.0)
-        shares.mark(sets, lambda count: 1.0, 3, now() + 1.0)
-        assert shares.crowding == frozenset()
+            shares.record_call(1.0, 1.0)
+        shares.update(sets, lambda count: 1.0, 3, now() + 1.0)
+        assert shares.over_share_accounts == frozenset()
 
     def test_a_flood_that_has_ended_is_forgotten(self):
         demand = Demand()
         demand.ask({"quiet": 0.05, "flood": 2.0}, for_s=4.0)
         demand.ask({"quiet": 0.05}, for_s=4 * FADE_S)
-        assert demand.shares.crowding == frozenset()
+        assert demand.shares.over_share_accounts == frozenset()
         demand.ask({"quiet": 0.05, "flood": 0.2}, for_s=0.2)
-        assert demand.beyond() == set()
+        assert demand.over_share() == set()
 
     async def test_of_one_account_what_is_due_first_is_within_its_share(self):
         shares = AccountShares()
-        sets = [pieces(f"flood/{n}", 1, in_s=n, account="flood") for n in range(4)]
-        for waiting in [*sets, pieces("quiet", 1, account="quiet")]:
-            shares.note_asked(waiting, 1.0, now())
-        shares.mark(reversed(sets), lambda count: 1.0, 2, now())
-        beyond = [waiting[0].beyond for waiting in sets]
-        assert beyond == sorted(beyond)
-        assert beyond[0] is False
-        assert beyond[-1] is True
+        sets = [items(f"flood/{n}", 1, in_s=n, account="flood") for n in range(4)]
+        for waiting in [*sets, items("quiet", 1, account="quiet")]:
+            shares.record_demand(waiting, 1.0, now())
+        shares.update(reversed(sets), lambda count: 1.0, 2, now())
+        over_share = [waiting[0].over_share for waiting in sets]
+        assert over_share == sorted(over_share)
+        assert over_share[0] is False
+        assert over_share[-1] is True
--- a/packages/node/tests/test_piece_handoff.py
+++ b/packages/node/tests/test_batch_handoff.py
@@ -6,14 +6,14 @@
 import pytest
 from aiohttp import web
 
-from eelgrass_node.connection.piece_handoff import (
+from eelgrass_node.connection.batch_handoff import (
     ACCEPT_S,
     SILENCE_S,
     HandoffClient,
     HandoffInterface,
 )
 from eelgrass_node.exceptions import PeerUnreachable
-from eelgrass_node.process.pieces import Piece, PieceOutcome
+from eelgrass_node.process.batch_items import BatchItem, ItemOutcome
 from eelgrass_node.process.queue_load import QueueLoad
 from eelgrass_node.version.deployment import ServiceName
 from eelgrass_standins.ports import free_addresses
@@ -27,19 +27,19 @@
     return asyncio.get_running_loop().time()
 
 
-def piece():
-    return Piece("id1", 0, 0, "key", (), now() + 6, now() + 1, 0, 8_000)
+def item():
+    return BatchItem("id1", 0, 0, "key", (), now() + 6, now() + 1, 0, 8_000)
 
 
 class Owner:
     """An owner whose answer is scripted; use it as a context."""
 
-    def __init__(self, handle=None, run=None, knows=True):
+    def __init__(self, handle=None, run=None, has_servers=True):
         self.heard = []
         self.freed = []
         self._handle = handle
         self._run = run
-        self._knows = knows
+        self._has_servers = has_servers
 
     async def __aenter__(self):
         self._served = served(self._add_routes, handler_cancellation=True)
@@ -57,38 +57,38 @@
             return
         interface = HandoffInterface(
             self._run,
-            lambda service: self._knows,
+            lambda service: self._has_servers,
             lambda service: QueueLoad(((0, 0.5),), 0.25),
             lambda service, handles: self.freed.extend(handles),
         )
         interface.add_routes(app)
 
     async def hand_over(self):
-        return await self.client.run(self.address, SERVICE, [piece()])
+        return await self.client.run(self.address, SERVICE, [item()])
 
 
-async def made(service, pieces):
-    return [PieceOutcome(handle=f"a:1/{p.number}") for p in pieces]
+async def made(service, items):
+    return [ItemOutcome(handle=f"a:1/{p.number}") for p in items]
 
 
 class TestHandoff:
     async def test_outcomes_and_the_load_come_back(self):
         async with Owner(run=made) as owner:
-            assert await owner.hand_over() == [PieceOutcome(handle="a:1/0")]
+            assert await owner.hand_over() == [ItemOutcome(handle="a:1/0")]
             assert owner.heard == [(SERVICE, QueueLoad(((0, 0.5),), 0.25))]
 
     async def test_a_long_wait_at_a_living_owner_is_no_silence(self):
-        async def slowly(service, pieces):
+        async def slowly(service, items):
             await asyncio.sleep(SILENCE_S * 1.5)
-            return await made(service, pieces)
+            return await made(service, items)
 
         async with Owner(run=slowly) as owner:
-            assert await owner.hand_over() == [PieceOutcome(handle="a:1/0")]
+            assert await owner.hand_over() == [ItemOutcome(handle="a:1/0")]
 
     async def test_a_caller_that_gives_up_withdraws_its_pieces(self):
         withdrawn = asyncio.Event()
 
-        async def wait(service, pieces):
+        async def wait(service, items):
             try:
                 await asyncio.sleep(5)
             except asyncio.CancelledError:
@@ -155,7 +155,7 @@
             await self.fails_within(owner, ACCEPT_S)
 
     async def test_one_that_knows_no_server_of_the_service(self):
-        async with Owner(run=made, knows=False) as owner:
+        async with Owner(run=made, has_servers=False) as owner:
             await self.fails_within(owner, ACCEPT_S)
 
     @pytest.mark.parametrize(
--- a/packages/node/tests/test_piece_batch.py
+++ b/packages/node/tests/test_batch_selection.py
@@ -1,7 +1,7 @@
 """Which pieces make up a call, with the loads of the users' sheets."""
 
-from eelgrass_node.process.piece_batch import RESERVE_AFTER_S, take_batch
-from eelgrass_node.process.pieces import Piece
+from eelgrass_node.process.batch_items import BatchItem
+from eelgrass_node.process.batch_selection import RESERVE_AFTER_S, select_batch
 
 LARGE = 3_000_000
 SMALL = 8_000
@@ -12,7 +12,7 @@
 
 def a_set(request, count, size=LARGE, queued_at=NOW, **fields):
     return [
-        Piece(
+        BatchItem(
             request_id=request,
             stage=0,
             number=number,
@@ -30,10 +30,10 @@
 
 
 def batch_of(*sets, room=MEMORY, places=PLACES):
-    batch = take_batch(
-        sets, places, room, MEMORY, lambda piece: piece.result_bytes, NOW
+    batch = select_batch(
+        sets, places, room, MEMORY, lambda item: item.result_bytes, NOW
     )
-    return [(piece.request_id, piece.number) for piece in batch]
+    return [(item.request_id, item.number) for item in batch]
 
 
 class TestWholeSets:
@@ -62,16 +62,16 @@
         assert batch_of(old, a_set("new", 1), room=2.0 * LARGE) == []
 
     def test_the_rest_of_a_begun_set_keeps_room_free(self):
-        rest = a_set("rest", 3, begun=True)
+        rest = a_set("rest", 3, set_started=True)
         assert batch_of(rest, a_set("new", 1), room=2.0 * LARGE) == []
 
     def test_small_results_do_not_wait_for_it(self):
-        rest = a_set("rest", 3, begun=True)
+        rest = a_set("rest", 3, set_started=True)
         assert batch_of(rest, a_set("s", 1, SMALL), room=LARGE) == [("s", 0)]
 
 
 class TestAlone:
     def test_pieces_of_a_silent_call_take_no_others_with_them(self):
-        silent = a_set("silent", 2, alone=True)
+        silent = a_set("silent", 2, isolated=True)
         assert batch_of(silent, a_set("other", 1)) == [("silent", 0), ("silent", 1)]
         assert batch_of(a_set("other", 1), silent) == [("other", 0)]
--- a/packages/node/tests/test_fingerprint.py
+++ b/packages/node/tests/test_fingerprint.py
@@ -4,7 +4,7 @@
 import pytest
 
 from eelgrass_node.request.fingerprint import fingerprint_of
-from support.pieces import routed
+from support.batching import routed
 
 
 def changed(request, **fields):
--- a/packages/node/tests/test_large_bodies.py
+++ b/packages/node/tests/test_large_bodies.py
@@ -26,8 +26,8 @@
 from eelgrass_node.request.routed import PLAIN_SILENCE_S
 from eelgrass_node.version import Pipeline, Stage, StageKind
 from eelgrass_standins.ports import free_addresses
+from support.batching import routed
 from support.fault_proxy import Direction, FaultProxy, Link
-from support.pieces import routed
 
 # A link of 5 Mbit/s.
 BYTES_PER_S = 0.6e6
--- a/packages/node/tests/test_log_pipe.py
+++ b/packages/node/tests/test_log_pipe.py
@@ -84,9 +84,9 @@
             Gauge("in_flight", "Requests.", 7.0),
         ]
         metrics = Metrics(counters, lambda: gauges)
-        metrics.note_request("answered", 0.3)
-        metrics.note_stages("r1", 0.2)
-        metrics.note_wait("s1", 0.01)
+        metrics.record_request("answered", 0.3)
+        metrics.record_stages("r1", 0.2)
+        metrics.record_wait("s1", 0.01)
         text = metrics.text().decode()
         assert 'eelgrassward_events_total{kind="retry.connect_failed"} 3.0' in text
         assert 'eelgrassward_servers{service="s2"} 3.0' in text
--- a/packages/node/tests/test_overload.py
+++ b/packages/node/tests/test_overload.py
@@ -4,31 +4,31 @@
 
 import pytest
 
+from eelgrass_node.process.batch_items import ItemFailure
 from eelgrass_node.process.overload import CALM_S, Overload
-from eelgrass_node.process.pieces import PieceTrouble
 from eelgrass_node.process.queue_load import FADE_S, QueueLoad, QueueLoads
 from eelgrass_node.request.planning import refuse_hopeless
 from eelgrass_node.version.deployment import ServiceName
-from support.pieces import Service, deployment, pieces, routed, server
+from support.batching import Service, deployment, items, routed, server
 
 
 class TestOverload:
     def test_it_lasts_from_the_first_of_a_series_of_refusals(self):
         overload = Overload()
         for n in range(13):
-            overload.note_refusal(10.0 + n / 2)
-        assert overload.lasted_s(16.0) == 6.0
+            overload.record_refusal(10.0 + n / 2)
+        assert overload.duration_s(16.0) == 6.0
 
     def test_it_is_over_where_nothing_was_refused_for_a_while(self):
         overload = Overload()
-        overload.note_refusal(10.0)
-        overload.note_refusal(10.9)
-        assert overload.lasted_s(10.9 + CALM_S + 0.1) == 0.0
-        overload.note_refusal(20.0)
-        assert overload.lasted_s(20.5) == 0.5
+        overload.record_refusal(10.0)
+        overload.record_refusal(10.9)
+        assert overload.duration_s(10.9 + CALM_S + 0.1) == 0.0
+        overload.record_refusal(20.0)
+        assert overload.duration_s(20.5) == 0.5
 
     def test_there_is_none_at_first(self):
-        assert Overload().lasted_s(0.0) == 0.0
+        assert Overload().duration_s(0.0) == 0.0
 
     @pytest.mark.parametrize("burst_s", [2.0, 6.0, 20.0])
     def test_callers_refused_in_a_burst_mostly_come_back_after_it(self, burst_s):
@@ -37,23 +37,23 @@
         late = 0
         for n in range(100):
             now = burst_s * n / 100
-            overload.note_refusal(now)
-            late += now + overload.lasted_s(now) >= burst_s
+            overload.record_refusal(now)
+            late += now + overload.duration_s(now) >= burst_s
         assert late >= 45
 
 
 class TestQueue:
     async def test_a_refusal_in_a_long_overload_asks_for_a_longer_wait(self):
         service = Service(server("s1"))
-        waiting = asyncio.create_task(service.queue.run(pieces("w", 200)))
+        waiting = asyncio.create_task(service.queue.run(items("w", 200)))
         await asyncio.sleep(0.001)
         asked = []
         for _ in range(2):
             for _ in range(6):
                 [refused] = await service.queue.run(
-                    pieces("r", in_s=0.02, deadline_s=0.03, priority=1)
+                    items("r", in_s=0.02, deadline_s=0.03, priority=1)
                 )
-                assert refused.trouble is PieceTrouble.OVERLOADED
+                assert refused.failure is ItemFailure.OVERLOADED
                 await asyncio.sleep(0.05)
             asked.append(refused.retry_after_s)
         assert asked[0] == pytest.approx(0.25, abs=0.1)
@@ -66,7 +66,7 @@
         now = [0.0]
         loads = QueueLoads(lambda: now[0])
         load = QueueLoad(((1, 9.0),), late_s=2.0, overload_s=8.0)
-        loads.hear(ServiceName("archive"), load)
+        loads.receive(ServiceName("archive"), load)
         # The wait there makes it late by some 7 s; it has been so for 8 s.
         assert refuse_hopeless(routed(), deployment(), loads, 0.35) == 8.0
         now[0] = FADE_S
--- a/packages/node/tests/test_owner_checks.py
+++ b/packages/node/tests/test_owner_checks.py
@@ -4,7 +4,7 @@
 
 from eelgrass_coordination.ids import DataCentre, NodeId
 from eelgrass_node.process.owner_checks import PROBE_AGAIN_S, OwnerChecks
-from eelgrass_node.process.piece_owners import DISTRUST_S, PieceOwners
+from eelgrass_node.process.queue_owners import BACKOFF_S, QueueOwners
 from eelgrass_node.process.reach import DataCentreReach
 from support.members import member
 from support.simulated_time import run_in_simulated_time
@@ -19,7 +19,7 @@
         loop = asyncio.get_running_loop()
         self._awake_at = loop.time() + still_for_s
         reach = DataCentreReach(DataCentre("a"), loop.time)
-        self.owners = PieceOwners(
+        self.owners = QueueOwners(
             NodeId("n0"), DataCentre("a"), 0.0, lambda: [OWNER], reach, loop.time
         )
         self.checks = OwnerChecks(self.owners, self._probe)
@@ -28,14 +28,14 @@
     def _probe(self, to):
         loop = asyncio.get_running_loop()
         self.probes += 1
-        loop.call_at(max(loop.time(), self._awake_at), self.checks.note_ack, to)
+        loop.call_at(max(loop.time(), self._awake_at), self.checks.on_ack, to)
 
     async def trusts_after_s(self):
         loop = asyncio.get_running_loop()
         began = loop.time()
-        self.owners.note_failure(OWNER)
+        self.owners.on_failure(OWNER)
         self.checks.check(OWNER)
-        while self.owners.is_distrusted(OWNER):  # noqa: ASYNC110
+        while self.owners.is_backed_off(OWNER):  # noqa: ASYNC110
             await asyncio.sleep(0.01)
         return loop.time() - began
 
@@ -54,5 +54,5 @@
             return await host.trusts_after_s(), host.probes
 
         took_s, probes = run_in_simulated_time(play())
-        assert DISTRUST_S <= took_s < DISTRUST_S + 0.1
-        assert probes <= DISTRUST_S / PROBE_AGAIN_S + 1
+        assert BACKOFF_S <= took_s < BACKOFF_S + 0.1
+        assert probes <= BACKOFF_S / PROBE_AGAIN_S + 1
--- a/packages/node/tests/test_planning.py
+++ b/packages/node/tests/test_planning.py
@@ -16,8 +16,8 @@
     RouteKind,
     ServiceName,
 )
+from support.batching import ARCHIVE, CHAIN, deployment, routed
 from support.clock import Clock
-from support.pieces import ARCHIVE, CHAIN, deployment, routed
 
 FINAL_S = 0.35
 
@@ -150,7 +150,7 @@
     def loads(self, **load_by_service):
         loads = QueueLoads(Clock())
         for service, load in load_by_service.items():
-            loads.hear(ServiceName(service), load)
+            loads.receive(ServiceName(service), load)
         return loads
 
     def test_a_request_with_idle_stages_is_let_in(self):
@@ -176,6 +176,6 @@
     def test_what_was_heard_fades(self):
         clock = Clock()
         loads = QueueLoads(clock)
-        loads.hear(ARCHIVE, QueueLoad(((1, 3.0),), 3.0))
+        loads.receive(ARCHIVE, QueueLoad(((1, 3.0),), 3.0))
         clock.now = FADE_S
         assert loads.wait_s(ARCHIVE, 1) == 0.0
--- a/packages/node/tests/test_platform_codecs.py
+++ b/packages/node/tests/test_platform_codecs.py
@@ -5,8 +5,8 @@
 
 from eelgrass_coordination.ids import BackendId
 from eelgrass_node.exceptions import (
+    BatchAnswerMalformed,
     ConfigurationMalformed,
-    PieceAnswerMalformed,
     RequestMalformed,
     ServerEntryMalformed,
     SettingsError,
@@ -16,7 +16,7 @@
 from eelgrass_node.platform.servers import decode_server
 from eelgrass_node.platform.settings import load_host_settings
 from eelgrass_node.process.backends import BackendState, ServerLife
-from eelgrass_node.process.pieces import Piece, PieceOutcome, PieceTrouble
+from eelgrass_node.process.batch_items import BatchItem, ItemFailure, ItemOutcome
 from eelgrass_node.process.warm_up import WarmUpBounds
 from eelgrass_node.request.arrival import Routed
 from eelgrass_node.version.deployment import AccountGrant, RouteKind, ServiceName
@@ -135,7 +135,7 @@
             1.5,
         )
         assert [service.name for service in route.services] == ["s1"]
-        limits = deployment.service_by_name[ServiceName("st")].pieces
+        limits = deployment.service_by_name[ServiceName("st")].batch_limits
         assert (limits.batch, limits.call_s, limits.memory_bytes) == (4, 0.15, 21e6)
         assert deployment.account_by_key["k2"] == AccountGrant("t1", 1)
 
@@ -349,12 +349,12 @@
 
 
 class TestStageCalls:
-    def piece(self, key, inputs):
-        return Piece("id1", 2, 5, key, inputs, 10.9, 10.0, 0, 8)
+    def item(self, key, inputs):
+        return BatchItem("id1", 2, 5, key, inputs, 10.9, 10.0, 0, 8)
 
     def test_a_piece_has_a_key_or_inputs(self):
-        body = stage_calls.encode_pieces(
-            [self.piece("k", ()), self.piece(None, ("a:1/h",))], now=10.0
+        body = stage_calls.encode_items(
+            [self.item("k", ()), self.item(None, ("a:1/h",))], now=10.0
         )
         first, second = msgspec.json.decode(body)["Items"]
         assert first == {
@@ -369,15 +369,15 @@
     def test_outcomes_in_order(self):
         body = b'{"Items":[{"Handle":"a:1/h"},{"Reason":"gone"},{"Reason":"new"}]}'
         assert stage_calls.decode_outcomes(body, 3) == [
-            PieceOutcome(handle="a:1/h"),
-            PieceOutcome(trouble=PieceTrouble.INPUT_GONE),
-            PieceOutcome(trouble=PieceTrouble.FAILED),
+            ItemOutcome(handle="a:1/h"),
+            ItemOutcome(failure=ItemFailure.INPUT_GONE),
+            ItemOutcome(failure=ItemFailure.FAILED),
         ]
 
     @pytest.mark.parametrize("body", [b"", b"{}", b'{"Items":[]}', b'{"Items":3}'])
     def test_an_answer_that_does_not_fit(self, body):
-        with pytest.raises(PieceAnswerMalformed):
+        with pytest.raises(BatchAnswerMalformed):
             stage_calls.decode_outcomes(body, 1)
 
     def test_the_maker_of_a_result(self):
-        assert stage_calls.maker_of("10.1.64.7:8080/91bd3f06e44") == "10.1.64.7:8080"
+        assert stage_calls.producer_of("10.1.64.7:8080/91bd3f06e44") == "10.1.64.7:8080"
--- a/packages/node/tests/test_freed_results.py
+++ b/packages/node/tests/test_result_release.py
@@ -7,7 +7,7 @@
 
 from eelgrass_coordination import MemberState
 from eelgrass_node.exceptions import PeerUnreachable
-from eelgrass_node.process.freed_results import OWNER_ANSWERS_S, FreedResults
+from eelgrass_node.process.result_release import OWNER_ANSWERS_S, ResultReleaser
 from eelgrass_node.version.deployment import ServiceName
 from support.members import member
 from support.simulated_time import run_in_simulated_time
@@ -44,14 +44,14 @@
         self.freed_here = []
         self.silent = []
         known = {record.id: record}.get
-        self._freed = FreedResults(
+        self._freed = ResultReleaser(
             self, self, client, known, self.silent.append, lambda name: None
         )
 
     def result_life_s(self, service):
         return LIFE_S
 
-    def note_answer(self, owner):
+    def on_answer(self, owner):
         self.silent.clear()
 
     def free(self, service, handles):
--- a/packages/node/tests/test_server_lives.py
+++ b/packages/node/tests/test_server_lives.py
@@ -12,13 +12,13 @@
 from eelgrass_node.exceptions import CallFailed
 from eelgrass_node.platform import requests
 from eelgrass_node.process.backends import Backends, HostEntry, ServerLife
+from eelgrass_node.process.batch_items import BatchItem, ItemFailure, ItemOutcome
 from eelgrass_node.process.ended_servers import Fingerprint
-from eelgrass_node.process.pieces import Piece, PieceOutcome, PieceTrouble
 from eelgrass_node.request.exchange import EngineCall
 from eelgrass_node.request.graph import StageGraph, StagePlan
-from eelgrass_node.version.deployment import PieceStage, ServiceName
+from eelgrass_node.version.deployment import BatchStage, ServiceName
+from support.batching import Service, items, routed, server
 from support.connections import listen
-from support.pieces import Service, pieces, routed, server
 
 FIRST, SECOND = (ServerLife(BackendId("s1"), started) for started in (5, 9))
 
@@ -34,15 +34,15 @@
     async def run(self, service, given):
         life = self.current
         self.made.append((service, given[0].stage, life, given[0].inputs))
-        return [PieceOutcome(handle=f"s1/{p.number}", maker=life) for p in given]
+        return [ItemOutcome(handle=f"s1/{p.number}", producer=life) for p in given]
 
     def is_over(self, life):
         return life.started < self.current.started
 
     def graph(self):
         stages = (
-            PieceStage(ServiceName("a"), (), 8_000),
-            PieceStage(ServiceName("b"), (0,), 8_000),
+            BatchStage(ServiceName("a"), (), 8_000),
+            BatchStage(ServiceName("b"), (0,), 8_000),
         )
         plan = StagePlan((9.0, 9.0), (9.0, 9.0), ((), (0,)))
         return StageGraph(
@@ -68,7 +68,7 @@
                 lives.current = SECOND
             return outcomes
 
-        graph._run_pieces = restart_after_first_stage
+        graph._run_items = restart_after_first_stage
         assert await graph.run() == ("s1/0",)
         assert [(service, life) for service, _, life, _ in lives.made] == [
             ("a", FIRST),
@@ -99,22 +99,22 @@
     async def test_inputs_of_a_life_that_ended_are_not_used(self):
         service = Service(server("s1"))
         service.ended.add(FIRST)
-        [piece] = pieces("r", inputs=("s1/1@a",))
-        piece.makers = (FIRST,)
-        [outcome] = await service.queue.run([piece])
-        assert outcome.trouble is PieceTrouble.INPUT_GONE
+        [item] = items("r", inputs=("s1/1@a",))
+        item.producers = (FIRST,)
+        [outcome] = await service.queue.run([item])
+        assert outcome.failure is ItemFailure.INPUT_GONE
         assert service.calls == []
 
     async def test_a_result_tells_which_life_holds_it(self):
         service = Service(server("s1"))
-        [outcome] = await service.queue.run(pieces("r"))
-        assert outcome.maker == service.servers[0].entry.life
+        [outcome] = await service.queue.run(items("r"))
+        assert outcome.producer == service.servers[0].entry.life
 
     async def test_the_use_of_one_life_is_not_that_of_the_next(self):
         backends = Backends()
         backends.update([entry(FIRST)])
         service = Service(backends.by_id["s1"])
-        await service.queue.run(pieces("r", count=4, size=3_000_000))
+        await service.queue.run(items("r", count=4, size=3_000_000))
         held = service.queue._servers.use(service.servers[0]).held_bytes(0.0)
         backends.update([entry(SECOND)])
         service.servers[:] = [backends.by_id["s1"]]
@@ -188,8 +188,8 @@
 
 class TestHandOff:
     def test_lives_travel_with_the_pieces(self):
-        from eelgrass_node.connection import piece_handoff
+        from eelgrass_node.connection import batch_handoff
 
-        piece = Piece("r", 1, 0, None, ("s1/0",), 2.0, 1.0, 0, 8, makers=(FIRST,))
-        [received] = piece_handoff._received(piece_handoff._sent([piece], 0.0), 0.0)
-        assert received.makers == (FIRST,)
+        item = BatchItem("r", 1, 0, None, ("s1/0",), 2.0, 1.0, 0, 8, producers=(FIRST,))
+        [received] = batch_handoff._received(batch_handoff._sent([item], 0.0), 0.0)
+        assert received.producers == (FIRST,)
--- a/packages/node/tests/test_serving_parts.py
+++ b/packages/node/tests/test_serving_parts.py
@@ -5,18 +5,18 @@
 from eelgrass_coordination import ranked
 from eelgrass_coordination.ids import BackendId, DataCentre, NodeId
 from eelgrass_node.process.backends import Backend, HostEntry
+from eelgrass_node.process.batch_items import ItemFailure, ItemOutcome
 from eelgrass_node.process.ended_servers import Fingerprint
-from eelgrass_node.process.piece_owners import DISTRUST_S, PieceOwners
-from eelgrass_node.process.pieces import PieceOutcome, PieceTrouble
+from eelgrass_node.process.queue_owners import BACKOFF_S, QueueOwners
 from eelgrass_node.process.reach import FIRST_DOUBT_S, DataCentreReach
 from eelgrass_node.request.events import EventSplitter
 from eelgrass_node.request.graph import StageGraph
 from eelgrass_node.request.planning import (
     plan_stages,
 )
+from support.batching import ARCHIVE, CLERKS, deployment, routed
 from support.clock import Clock
 from support.members import member
-from support.pieces import ARCHIVE, CLERKS, deployment, routed
 
 FINAL_S = 0.35
 
@@ -26,15 +26,15 @@
         calls = []
         freed = []
 
-        async def run_pieces(service, pieces):
-            calls.append((service, pieces))
-            return answer(service, pieces, len(calls))
+        async def run_items(service, items):
+            calls.append((service, items))
+            return answer(service, items, len(calls))
 
         request = given or routed()
         graph = StageGraph(
             request,
             plan_stages(request, deployment(), "a", FINAL_S),
-            run_pieces,
+            run_items,
             lambda service, handles, owner: freed.extend(handles),
             lambda handle: "a",
             lambda life: False,
@@ -43,8 +43,8 @@
         return graph, await graph.run(), calls, freed
 
     @staticmethod
-    def handles(service, pieces, number):
-        return [PieceOutcome(handle=f"{p.stage}/{p.number}") for p in pieces]
+    def handles(service, items, number):
+        return [ItemOutcome(handle=f"{p.stage}/{p.number}") for p in items]
 
     async def test_each_piece_gets_all_results_before_it(self):
         graph, inputs, calls, freed = await self.run_graph(self.handles)
@@ -61,10 +61,10 @@
         assert set(inputs) <= set(freed)
 
     async def test_lost_results_are_made_again(self):
-        def lose_once(service, pieces, number):
+        def lose_once(service, items, number):
             if service == ARCHIVE and number < 5:
-                return [PieceOutcome(trouble=PieceTrouble.INPUT_GONE)] * len(pieces)
-            return self.handles(service, pieces, number)
+                return [ItemOutcome(failure=ItemFailure.INPUT_GONE)] * len(items)
+            return self.handles(service, items, number)
 
         graph, inputs, calls, freed = await self.run_graph(lose_once)
         assert len(inputs) == 18
@@ -126,7 +126,7 @@
     def owners(self, own, data_centre):
         others = [m for m in self.members if m.id != own]
         reach = DataCentreReach(DataCentre(data_centre), self.clock)
-        return PieceOwners(
+        return QueueOwners(
             NodeId(own),
             DataCentre(data_centre),
             next((m.capacity for m in self.members if m.id == own), 1.0),
@@ -160,9 +160,9 @@
         owner = ranked(self.members, "portal", lambda m: m.id)[0]
         own = next(m for m in self.members if m.data_centre != owner.data_centre)
         owners = self.owners(own.id, own.data_centre)
-        owners.note_failure(owner)
+        owners.on_failure(owner)
         assert owner not in owners.candidates("portal")
-        self.clock.now = DISTRUST_S
+        self.clock.now = BACKOFF_S
         assert owners.candidates("portal")[0] == owner
 
     # Three hand-offs that failed in one stall shut their owner out for 6 s.
@@ -171,11 +171,11 @@
         own = next(m for m in self.members if m.data_centre != owner.data_centre)
         owners = self.owners(own.id, own.data_centre)
         for _ in range(3):
-            owners.note_failure(owner)
-        self.clock.now = DISTRUST_S
+            owners.on_failure(owner)
+        self.clock.now = BACKOFF_S
         assert owners.candidates("portal")[0] == owner
-        owners.note_failure(owner)
-        owners.note_answer(owner)
+        owners.on_failure(owner)
+        owners.on_answer(owner)
         assert owners.candidates("portal")[0] == owner
 
     def test_in_a_cut_the_nodes_of_a_data_centre_agree_on_one_of_theirs(self):
@@ -183,7 +183,7 @@
         for own in ("n0", "n1"):
             owners = self.owners(own, "a")
             for other in self.members[2:]:
-                owners.note_failure(other)
+                owners.on_failure(other)
             first = owners.candidates("portal")[0]
             found.add(own if first is None else first.id)
         assert len(found) == 1 and found <= {"n0", "n1"}
--- a/packages/standins/src/eelgrass_standins/users_engines.py
+++ b/packages/standins/src/eelgrass_standins/users_engines.py
@@ -56,7 +56,7 @@
         self.event_s = event_s
         self.faults: list[EngineFault] = []
         self.runs: list[Run] = []
-        self.pieces: list[dict] = []
+        self.batch_items: list[dict] = []
         self.calls = 0
         self.results: set[str] = set()
         self.made_by_handle: dict[str, dict] = {}
@@ -69,7 +69,7 @@
     def application(self) -> web.Application:
         """Return the web application of the server."""
         app = web.Application()
-        app.router.add_post("/-/stage-run", self._handle_pieces)
+        app.router.add_post("/-/stage-run", self._handle_items)
         app.router.add_post("/-/stage-free", self._handle_free)
         app.router.add_route("*", "/{path:.*}", self._handle)
         return app
@@ -166,7 +166,7 @@
         self.end()
         await asyncio.Event().wait()
 
-    async def _handle_pieces(self, request: web.Request) -> web.Response:
+    async def _handle_items(self, request: web.Request) -> web.Response:
         if self._expects_other(request):
             return web.Response(status=HTTP_MISDIRECTED)
         if self._take(EngineFault.REFUSE):
@@ -174,7 +174,7 @@
             return web.Response(status=HTTP_UNAVAILABLE, headers=refused)
         items = msgspec.json.decode(await request.read())["Items"]
         self.calls += 1
-        self.pieces += items
+        self.batch_items += items
         if self.fatal is not None:
             keys = [item.get("Key", "").encode() for item in items]
             if any(self.fatal in key for key in keys):
--- a/tests/support/pieces.py
+++ b/tests/support/batching.py
@@ -4,15 +4,15 @@
 
 from eelgrass_coordination.ids import BackendId, DataCentre
 from eelgrass_node.process.backends import Backend, HostEntry
-from eelgrass_node.process.piece_queue import PieceQueue
-from eelgrass_node.process.pieces import Piece, PieceOutcome
+from eelgrass_node.process.batch_items import BatchItem, ItemOutcome
+from eelgrass_node.process.batch_queue import BatchQueue
 from eelgrass_node.process.reach import DataCentreReach
 from eelgrass_node.request.arrival import Arrival, PromptShape, Routed
 from eelgrass_node.version.deployment import (
+    BatchLimits,
+    BatchStage,
     CallerLimits,
     Deployment,
-    PieceLimits,
-    PieceStage,
     Route,
     RouteKind,
     Service as DeployedService,
@@ -30,7 +30,7 @@
     "Service",
     "deployment",
     "now",
-    "pieces",
+    "items",
     "routed",
     "server",
 ]
@@ -38,12 +38,12 @@
 PORTAL, CLERKS, ARCHIVE = (ServiceName(n) for n in ("portal", "clerks", "archive"))
 LARGE = 3_000_000
 # A tenth of the times on the sheets, so that tests are quick.
-LIMITS = PieceLimits(
+LIMITS = BatchLimits(
     slots=1,
     queue=2,
     batch=4,
     call_s=0.015,
-    piece_s=0.0032,
+    item_s=0.0032,
     memory_bytes=21_000_000.0,
     result_life_s=0.4,
 )
@@ -62,7 +62,7 @@
 class Service:
     """Servers that run pieces; ``behave`` may give outcomes of its own."""
 
-    def __init__(self, *servers, behave=None, may_repeat=True, limits=LIMITS):
+    def __init__(self, *servers, behave=None, may_retry=True, limits=LIMITS):
         self._limits = limits
         self.servers = list(servers)
         self.calls = []
@@ -70,7 +70,7 @@
         self.ended = set()
         self._behave = behave
         self.reach = DataCentreReach(DataCentre("a"), now)
-        self.queue = PieceQueue(
+        self.queue = BatchQueue(
             "portal",
             lambda: limits,
             lambda: self.servers,
@@ -78,25 +78,25 @@
             lambda handle: handle.partition("@")[2],
             self.ended.__contains__,
             self._run,
-            lambda piece: may_repeat,
+            lambda item: may_retry,
             lambda service, waited_s: None,
             self.freed.extend,
         )
 
-    async def _run(self, backend, pieces, within_s):
-        self.calls.append((backend.entry.id, pieces))
+    async def _run(self, backend, items, within_s):
+        self.calls.append((backend.entry.id, items))
         if self._behave is not None:
-            outcomes = await self._behave(backend, pieces)
+            outcomes = await self._behave(backend, items)
             if outcomes is not None:
                 return outcomes
         limits = self._limits
-        await asyncio.sleep(limits.call_s + limits.piece_s * len(pieces))
-        return [PieceOutcome(handle=f"{p.request_id}/{p.number}@a") for p in pieces]
+        await asyncio.sleep(limits.call_s + limits.item_s * len(items))
+        return [ItemOutcome(handle=f"{p.request_id}/{p.number}@a") for p in items]
 
 
-def pieces(request, count=1, in_s=1.0, size=8_000, priority=0, **fields):
+def items(request, count=1, in_s=1.0, size=8_000, priority=0, **fields):
     return [
-        Piece(
+        BatchItem(
             request_id=request,
             stage=0,
             number=number,
@@ -106,7 +106,7 @@
             due=now() + in_s,
             priority=priority,
             result_bytes=size,
-            near=fields.get("near", ""),
+            preferred_data_centre=fields.get("preferred_data_centre", ""),
             account=fields.get("account"),
         )
         for number in range(count)
@@ -114,10 +114,10 @@
 
 
 CHAIN = (
-    PieceStage(ServiceName("portal"), (), LARGE),
-    PieceStage(ServiceName("portal"), (), 8_000),
-    PieceStage(ServiceName("clerks"), (1,), 60_000),
-    PieceStage(ServiceName("archive"), (2,), 6_000),
+    BatchStage(ServiceName("portal"), (), LARGE),
+    BatchStage(ServiceName("portal"), (), 8_000),
+    BatchStage(ServiceName("clerks"), (1,), 60_000),
+    BatchStage(ServiceName("archive"), (2,), 6_000),
 )
 
 
@@ -155,21 +155,21 @@
         caller_deadline_s=deadline_s,
         api_key=None,
         last_event_id=None,
-        piece_counts=counts,
-        piece_key="key",
+        item_counts=counts,
+        item_key="key",
         prompt=PromptShape(),
     )
     return Routed(arrival, route, ServiceName("readers"), None, deadline_s, target_s)
 
 
-def _limits(batch, piece_s, memory=21e6):
-    return PieceLimits(1, 2, batch, 0.15, piece_s, memory, 4.0)
+def _limits(batch, item_s, memory=21e6):
+    return BatchLimits(1, 2, batch, 0.15, item_s, memory, 4.0)
 
 
 def deployment():
     by_name = {
-        PORTAL: DeployedService(PORTAL, 100, pieces=_limits(4, 0.032)),
-        CLERKS: DeployedService(CLERKS, 100, pieces=_limits(15, 0.0085)),
-        ARCHIVE: DeployedService(ARCHIVE, 100, pieces=_limits(30, 0.0043)),
+        PORTAL: DeployedService(PORTAL, 100, batch_limits=_limits(4, 0.032)),
+        CLERKS: DeployedService(CLERKS, 100, batch_limits=_limits(15, 0.0085)),
+        ARCHIVE: DeployedService(ARCHIVE, 100, batch_limits=_limits(30, 0.0043)),
     }
     return Deployment(1, {}, by_name, {}, False, CallerLimits(1 << 20, 15.0))
--- a/tests/support/soak_checks.py
+++ b/tests/support/soak_checks.py
@@ -92,7 +92,7 @@
     given += [
         (item["Id"], item["Inputs"], 1)
         for engine in engines
-        for item in engine.pieces
+        for item in engine.batch_items
         if "Inputs" in item
     ]
     for request_id, handles, count in given:
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -31,7 +31,7 @@
 
 def runs_far(deployment):
     """Count the requests and pieces that servers of the other data centre ran."""
-    return sum(len(engine.runs) + len(engine.pieces) for engine in deployment.far)
+    return sum(len(engine.runs) + len(engine.batch_items) for engine in deployment.far)
 
 
 def emptied(deployment, data_centre="b"):
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -124,8 +124,8 @@
         quarantine.holds = lambda request: next(answers, True)
         status, _, _ = await poisoned.ask("/stream/staged/x", **self.SEGMENTS)
         assert status == 503
-        pieces = [e.pieces for e in poisoned.engines_by_service["portal"]]
-        assert not any(pieces)
+        items = [e.batch_items for e in poisoned.engines_by_service["portal"]]
+        assert not any(items)
 
 
 class TestBesideOthers:
--- a/tests/test_users_platform.py
+++ b/tests/test_users_platform.py
@@ -113,7 +113,7 @@
         asking = asyncio.create_task(
             entry.ask("/stream/staged/x", request_id="first", **SEGMENTS)
         )
-        await until(lambda: any(engine.pieces for engine in portal))
+        await until(lambda: any(engine.batch_items for engine in portal))
         for engine in portal:
             engine.restart()
             entry.list_engine("portal", engine)
@@ -263,9 +263,7 @@
     async def test_each_piece_is_made_once_and_freed(self, entry):
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
         assert (status, body) == (200, WHOLE)
-        made = {
-            service: self.pieces(entry, service) for service in ("portal", "clerks")
-        }
+        made = {service: self.items(entry, service) for service in ("portal", "clerks")}
         assert made["portal"] == [(0, 0), (0, 1), (1, 0)]
         assert made["clerks"] == [(2, n) for n in range(5)]
         [run] = entry.runs("readers")
@@ -279,7 +277,7 @@
         answers = await asyncio.gather(*asks)
         assert all(answer[0] == 200 for answer in answers)
         engines = entry.engines_by_service["clerks"]
-        assert sum(len(e.pieces) for e in engines) == 100
+        assert sum(len(e.batch_items) for e in engines) == 100
         assert sum(e.calls for e in engines) < 50
 
     # A process that stood still took answers it had not read for silence.
@@ -292,11 +290,11 @@
                 asyncio.create_task(entry.ask("/stream/staged/x", node=n, **SEGMENTS))
                 for n in (0, 1, 0, 1)
             ]
-            await until(lambda engine=engine: engine.pieces)
+            await until(lambda engine=engine: engine.batch_items)
             time.sleep(stall_s)  # noqa: ASYNC251
             answers = await asyncio.gather(*asking_all)
             assert [answer[0] for answer in answers] == [200] * 4
-        assert len(self.pieces(entry, "clerks")) == 40
+        assert len(self.items(entry, "clerks")) == 40
 
     async def test_results_are_kept_until_the_request_has_gone_out(self, entry):
         """A connection that never comes about makes no piece anew."""
@@ -307,7 +305,7 @@
             asks = [entry.ask("/stream/staged/x", **SEGMENTS) for _ in range(4)]
             answers = await asyncio.gather(*asks)
         assert all(answer[0] == 200 for answer in answers)
-        assert len(self.pieces(entry, "clerks")) == 20
+        assert len(self.items(entry, "clerks")) == 20
 
     async def test_results_that_are_gone_are_made_again(self, entry):
         fault(entry, "readers", EngineFault.FORGET_RESULTS)
@@ -350,9 +348,9 @@
             )
             for _ in range(6)
         ]
-        await until(lambda: len(self.pieces(entry, "portal")) == 18)
+        await until(lambda: len(self.items(entry, "portal")) == 18)
         owner = entry.nodes[at_owner].membership.own
-        entry.nodes[elsewhere].owners.note_failure(owner)
+        entry.nodes[elsewhere].owners.on_failure(owner)
         answers = await asyncio.gather(*asks)
         asks = [
             entry.ask("/stream/staged/x", node=at_owner, **SEGMENTS) for _ in range(4)
@@ -367,9 +365,11 @@
         return (0, 1) if owner is None else (1, 0)
 
     @staticmethod
-    def pieces(entry, service):
+    def items(entry, service):
         engines = entry.engines_by_service[service]
-        return sorted((p["Phase"], p["Segment"]) for e in engines for p in e.pieces)
+        return sorted(
+            (p["Phase"], p["Segment"]) for e in engines for p in e.batch_items
+        )
 
     @staticmethod
     def results(entry):
