--- a/packages/node/src/eelgrass_node/connection/callers.py
+++ b/packages/node/src/eelgrass_node/connection/callers.py
@@ -9,7 +9,7 @@
 
 from ..exceptions import CallerGone, Refused
 from ..log import Part, log
-from ..process.claimed import ClaimedRequests
+from ..process.claimed_requests import ClaimedRequests
 from ..process.configuration import ConfigurationSync
 from ..process.costs import CostLedger
 from ..process.counters import Counters
@@ -152,7 +152,7 @@
             with self._stopping.in_flight():
                 return await self._claimed.run(call, execution)
 
-        task = self._stopping.keep(asyncio.create_task(run()))
+        task = self._stopping.track(asyncio.create_task(run()))
         return await asyncio.shield(task)
 
     async def _refuse(
--- a/packages/node/src/eelgrass_node/connection/peers.py
+++ b/packages/node/src/eelgrass_node/connection/peers.py
@@ -8,7 +8,7 @@
 from eelgrass_coordination import Exchange, Membership
 from eelgrass_coordination.ids import ClaimId, Revision
 
-from ..process.claimed import ClaimedRequests
+from ..process.claimed_requests import ClaimedRequests
 from ..process.configuration import ConfigurationSync, RevisionReply
 
 __all__ = ["PeersInterface", "json_response"]
@@ -69,7 +69,9 @@
         """Answer ``POST /peer/v1/claims/wait``."""
         query = msgspec.json.decode(await request.read(), type=_WaitForClaim)
         wait_s = min(query.wait_s, MAX_WAIT_S)
-        return json_response(await self._claimed.wait_for_owner(query.claim_id, wait_s))
+        return json_response(
+            await self._claimed.wait_until_finished(query.claim_id, wait_s)
+        )
 
     async def handle_members(self, request: web.Request) -> web.Response:
         """Answer ``POST /peer/v1/members`` with all that is known."""
--- a/packages/node/src/eelgrass_node/connection/table_feed.py
+++ b/packages/node/src/eelgrass_node/connection/table_feed.py
@@ -8,7 +8,7 @@
 
 from ..exceptions import DifferenceMismatch, HistoryGone, StoreUnavailable
 from ..log import Part, log
-from ..process.row_difference import RowDifference, difference_of, with_difference
+from ..process.row_difference import RowDifference, apply_difference, compute_difference
 from ..process.store_tables import StoredRow, TableChanges
 from ..process.table_relay import TableRelay
 from .peer_answers import peer_answer
@@ -120,7 +120,7 @@
         for difference in differences:
             known = self._known_row(table, difference.key)
             if known is None or known.version < difference.version:
-                rows.append(with_difference(known, difference))
+                rows.append(apply_difference(known, difference))
         return rows
 
 
@@ -152,11 +152,11 @@
         rows: list[StoredRow] = []
         differences: list[RowDifference] = []
         for row in changes.rows:
-            before = self._relay.large_row_before(feed.table, row.key, feed.after)
+            before = self._relay.previous_large_row(feed.table, row.key, feed.after)
             if before is None or row.value is None:
                 rows.append(row)
             else:
-                differences.append(difference_of(before, row))
+                differences.append(compute_difference(before, row))
         rest = TableChanges(tuple(rows), changes.version)
         return _FeedReply(_Knowledge.KNOWN, rest, tuple(differences))
 
--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -112,12 +112,12 @@
         self.catch_up = PeerCatchUp(
             self._take_state_of,
             lambda: self.deployments.number,
-            lambda: self.tables.known,
+            lambda: self.tables.is_ready,
             self._peer_addresses,
             self._configuration_arrives,
         )
         self.membership = Membership(
-            settings.as_member(), settings.seed_gossip(), GOSSIP_INTERVAL_S
+            settings.as_member(), settings.seed_gossip_addresses(), GOSSIP_INTERVAL_S
         )
         self.membership.on_change = self._members_changed
         self.membership.on_revision = self._revision_heard
@@ -225,7 +225,7 @@
     @property
     def ready(self) -> bool:
         """Whether this node can serve: it does not stop, and knows both tables."""
-        return self.tables.known and not self.stopping.stopping
+        return self.tables.is_ready and not self.stopping.stopping
 
     async def start(self) -> None:
         """Listen, join the others, and begin to follow the store."""
@@ -287,9 +287,9 @@
         state = await self.peer_calls.ask(
             address, STATE_CALL, None, PeerState, PEER_STATE_S
         )
-        self.tables.operator.take_from_peer(state.operator, address)
-        self.tables.servers.take_from_peer(state.servers, address)
-        self.tables.crashes.take_from_peer(state.crashes, address)
+        self.tables.operator.apply_peer_rows(state.operator, address)
+        self.tables.servers.apply_peer_rows(state.servers, address)
+        self.tables.crashes.apply_peer_rows(state.crashes, address)
 
     def _configuration_arrives(self) -> bool:
         table = configuration.OPERATOR_TABLE
@@ -381,8 +381,8 @@
         self.backends.set_live_nodes(len(self.membership.members.reachable()) + 1)
 
     def _revision_heard(self, revision: Revision, member: Member, age_s: float) -> None:
-        self.deployments.hear(revision)
-        self.catch_up.heard(revision, member, age_s)
+        self.deployments.on_number_announced(revision)
+        self.catch_up.on_number_announced(revision, member, age_s)
 
     def _mark_heard(self, mark: GossipItem) -> None:
         self.failing.hear(mark)
--- a/packages/node/src/eelgrass_node/platform/store.py
+++ b/packages/node/src/eelgrass_node/platform/store.py
@@ -11,7 +11,7 @@
 
 from ..connection.sockets import new_session
 from ..exceptions import HistoryGone, StoreUnavailable
-from ..process.follow_pace import READ_S, TRY_S
+from ..process.store_backoff import FULL_READ_RESPONSE_TIMEOUT_S, RESPONSE_TIMEOUT_S
 from ..process.store_tables import StoredRow, TableChanges
 
 __all__ = ["RowStore"]
@@ -84,7 +84,7 @@
         first = ""
         while True:
             params = {"Table": table, "part": "", "FromKey": first}
-            page = await self._get("/-/rows-get", params, READ_S)
+            page = await self._get("/-/rows-get", params, FULL_READ_RESPONSE_TIMEOUT_S)
             rows += [_stored(row) for row in page.rows]
             version = page.ver if version is None else version
             if not page.has_more or not page.rows:
@@ -104,7 +104,7 @@
         }
         # Where no answer has begun so long after the wait, the connection is taken for
         # one that has gone silent.
-        page = await self._get("/-/rows-feed", params, wait_s + TRY_S)
+        page = await self._get("/-/rows-feed", params, wait_s + RESPONSE_TIMEOUT_S)
         return TableChanges(tuple(_stored(row) for row in page.rows), page.ver)
 
     async def write(
@@ -125,7 +125,7 @@
                 session,
                 "POST",
                 self._url + path,
-                TRY_S,
+                RESPONSE_TIMEOUT_S,
                 CONNECT_TIMEOUT_S,
                 data=body,
                 headers={"Content-Type": "application/json"},
--- a/packages/node/src/eelgrass_node/process/claimed.py
+++ b/packages/node/src/eelgrass_node/process/claimed_requests.py
@@ -82,7 +82,7 @@
             if settled is not None:
                 return settled.answer, True
 
-    async def wait_for_owner(self, claim_id: ClaimId, wait_s: float) -> OwnerReply:
+    async def wait_until_finished(self, claim_id: ClaimId, wait_s: float) -> OwnerReply:
         """Answer a peer that asks for a claim of ours; waits for its end."""
         running = self._running_by_id.get(claim_id)
         if running is None:
@@ -172,7 +172,7 @@
         if wait_s <= 0:
             raise _refused(RefusalReason.CLAIM_STILL_RUNNING, retry_after=RETRY_AFTER_S)
         if claim.owner_incarnation == self._incarnation:
-            reply = await self.wait_for_owner(claim.claim_id, wait_s)
+            reply = await self.wait_until_finished(claim.claim_id, wait_s)
         else:
             reply = await self._ask_owner(claim, wait_s)
         if reply.state is OwnerState.RUNNING:
--- a/packages/node/src/eelgrass_node/process/configuration.py
+++ b/packages/node/src/eelgrass_node/process/configuration.py
@@ -124,7 +124,9 @@
         self._renew(before)
         return complete
 
-    def heard(self, revision: Revision, member: Member, age_s: float) -> None:
+    def on_revision_announced(
+        self, revision: Revision, member: Member, age_s: float
+    ) -> None:
         """Take in what a peer said of its revision."""
         if revision > self.follower.revision:
             task = asyncio.create_task(self._fetch(member))
--- a/packages/node/src/eelgrass_node/process/crash_table.py
+++ b/packages/node/src/eelgrass_node/process/crash_table.py
@@ -88,7 +88,7 @@
         for life in lives:
             self._put(_key(request, life), None)
 
-    def take_rows(self, rows: tuple[StoredRow, ...]) -> None:
+    def apply_rows(self, rows: tuple[StoredRow, ...]) -> None:
         """Take in rows that changed."""
         for row in rows:
             if row.value is None:
@@ -96,7 +96,7 @@
             else:
                 self._written(row.key, row.value)
 
-    def take_whole(self, keys: set[str]) -> None:
+    def apply_snapshot(self, keys: set[str]) -> None:
         """Take in which rows there are, after a whole read."""
         for key in self._end_by_key.keys() - keys:
             self._removed(key)
--- a/packages/node/src/eelgrass_node/process/deployments.py
+++ b/packages/node/src/eelgrass_node/process/deployments.py
@@ -54,7 +54,7 @@
         """
         return self._awaited_number > self.number and not self._has_lapsed()
 
-    def hear(self, number: int) -> None:
+    def on_number_announced(self, number: int) -> None:
         """Note the number of the configuration that another node has."""
         if self._awaited_number >= 0 and self._has_lapsed():
             # It must not hide the numbers of those that do come.
@@ -70,13 +70,13 @@
         now = asyncio.get_running_loop().time()
         return now - self._awaited_since > AWAITED_S
 
-    def take_rows(self, rows: tuple[StoredRow, ...], source: str) -> None:
+    def apply_rows(self, rows: tuple[StoredRow, ...], source: str) -> None:
         """Take in rows of the operator's table; ``source`` says from where."""
         for row in rows:
             if row.key == self._key and row.value is not None:
-                self.take(row.value, source)
+                self.apply(row.value, source)
 
-    def take(self, raw: bytes, source: str) -> bool:
+    def apply(self, raw: bytes, source: str) -> bool:
         """Take in a configuration; returns whether it is newer than the last."""
         try:
             deployment = self._decode(raw)
--- a/packages/node/src/eelgrass_node/process/host_settings.py
+++ b/packages/node/src/eelgrass_node/process/host_settings.py
@@ -93,7 +93,7 @@
         """Return the internal addresses of the seeds but its own."""
         return tuple(seed for seed in self.seeds if seed != self.internal)
 
-    def seed_gossip(self) -> list[str]:
+    def seed_gossip_addresses(self) -> list[str]:
         """Return the gossip addresses of the seeds."""
         hosts = (seed.rpartition(":")[0] for seed in self.seeds)
         return [f"{host}:{self.seed_gossip_port}" for host in hosts]
--- a/packages/node/src/eelgrass_node/process/node.py
+++ b/packages/node/src/eelgrass_node/process/node.py
@@ -33,7 +33,7 @@
 from ..settings import Settings
 from .backends import Backend, Backends
 from .changes import Changes
-from .claimed import ClaimedRequests
+from .claimed_requests import ClaimedRequests
 from .configuration import ConfigurationSync, is_poller
 from .cost_store import CostStore
 from .costs import CostLedger
@@ -209,7 +209,7 @@
 
     def _connect(self) -> None:
         membership = self.membership
-        membership.on_revision = self.configuration.heard
+        membership.on_revision = self.configuration.on_revision_announced
         membership.on_gossip_item = self._hear_mark
         membership.on_change = self._members_changed
         membership.confirmed_s = self.configuration.follower.age
--- a/packages/node/src/eelgrass_node/process/peer_catch_up.py
+++ b/packages/node/src/eelgrass_node/process/peer_catch_up.py
@@ -50,7 +50,7 @@
         self._told_by_address: dict[str, int] = {}
         self._task: asyncio.Task | None = None
 
-    def heard(self, number: int, member: Member, age_s: float) -> None:
+    def on_number_announced(self, number: int, member: Member, age_s: float) -> None:
         """Note that another node has the configuration of that number."""
         if number <= self._number():
             return
--- a/packages/node/src/eelgrass_node/process/places/evacuations.py
+++ b/packages/node/src/eelgrass_node/process/places/evacuations.py
@@ -67,7 +67,7 @@
         """Return whether the servers of a data centre get no new work."""
         return data_centre in self.since_by_data_centre
 
-    def take_rows(self, rows: Iterable[StoredRow]) -> None:
+    def apply_rows(self, rows: Iterable[StoredRow]) -> None:
         """Take in rows of the operator's table; others than these are left alone.
 
         That the row is there is what counts. Its value says nothing.
@@ -77,7 +77,7 @@
             if data_centre is not None:
                 self._read(data_centre, row.version, row.value is not None)
 
-    def take_whole(self, keys: set[str]) -> None:
+    def apply_snapshot(self, keys: set[str]) -> None:
         """Take in which rows there are, after a whole read."""
         listed = {self._data_centre_of(key) for key in keys}
         for data_centre, word in list(self._read_by_data_centre.items()):
--- a/packages/node/src/eelgrass_node/process/platform_tables.py
+++ b/packages/node/src/eelgrass_node/process/platform_tables.py
@@ -10,7 +10,7 @@
 from .deployments import DeploymentInForce
 from .places import Evacuations
 from .server_list import ServerList
-from .store_tables import FollowedTable, StoredRow
+from .store_tables import StoredRow, TableReplica
 from .table_relay import AskRelay, RelayedReader, StoreReader, TableRelay, relays_of
 
 __all__ = ["PlatformTables", "TableNames"]
@@ -23,7 +23,7 @@
 # after which a relay that has lost the store tells its followers: that leaves
 # them half a second of the 2 s for a server that leaves.
 SERVERS_WAIT_S = 0.5
-SERVERS_PAUSE_S = 0.4
+SERVERS_FEED_DELAY_S = 0.4
 
 
 # Ends of servers are told by marks first; those that only the table tells come at once,
@@ -71,32 +71,32 @@
             store,
             lambda table: relays_of(own(), members(), table),
             ask_relay,
-            {names.servers: SERVERS_PAUSE_S},
+            {names.servers: SERVERS_FEED_DELAY_S},
             clock,
         )
-        self.operator = FollowedTable(
+        self.operator = TableReplica(
             reader,
             names.operator,
             self._take_operator_rows,
-            evacuations.take_whole,
+            evacuations.apply_snapshot,
             evacuations.note_store_return,
             CONFIGURATION_WAIT_S,
             min(apply_s, evacuate_s),
         )
-        self.servers = FollowedTable(
+        self.servers = TableReplica(
             reader,
             names.servers,
-            lambda rows, source: server_list.take_rows(rows),
-            server_list.take_whole,
+            lambda rows, source: server_list.apply_rows(rows),
+            server_list.apply_snapshot,
             server_list.note_outage_end,
             SERVERS_WAIT_S,
             drain_s,
         )
-        self.crashes = FollowedTable(
+        self.crashes = TableReplica(
             reader,
             names.crashes,
-            lambda rows, source: crashes.take_rows(rows),
-            crashes.take_whole,
+            lambda rows, source: crashes.apply_rows(rows),
+            crashes.apply_snapshot,
             lambda: None,
             CRASHES_WAIT_S,
             apply_s,
@@ -108,17 +108,17 @@
             names.servers: self.servers,
             names.crashes: self.crashes,
         }
-        self.relay = TableRelay(self._table_by_name, reader.reads_itself)
+        self.relay = TableRelay(self._table_by_name, reader.reads_from_store)
 
     def _take_operator_rows(self, rows: tuple[StoredRow, ...], source: str) -> None:
-        self._deployments.take_rows(rows, source)
-        self._evacuations.take_rows(rows)
+        self._deployments.apply_rows(rows, source)
+        self._evacuations.apply_rows(rows)
 
     def row(self, table: str, key: str) -> StoredRow | None:
         """Return a row as it is known here."""
         return self._table_by_name[table].row(key)
 
     @property
-    def known(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether there is a configuration, and the servers are known, too."""
-        return self._deployments.current is not None and self.servers.known
+        return self._deployments.current is not None and self.servers.has_rows
--- a/packages/node/src/eelgrass_node/process/row_difference.py
+++ b/packages/node/src/eelgrass_node/process/row_difference.py
@@ -21,7 +21,7 @@
 from ..exceptions import DifferenceMismatch
 from .store_tables import StoredRow
 
-__all__ = ["RowDifference", "difference_of", "with_difference"]
+__all__ = ["RowDifference", "compute_difference", "apply_difference"]
 
 CHUNK_BEGINS = b"{"
 DIGEST_BYTES = 16
@@ -51,7 +51,7 @@
 
 
 @lru_cache(maxsize=KEPT_DIFFERENCES)
-def difference_of(before: StoredRow, row: StoredRow) -> RowDifference:
+def compute_difference(before: StoredRow, row: StoredRow) -> RowDifference:
     """Return what makes ``row`` of ``before``; both have a value."""
     base = before.value.split(CHUNK_BEGINS)
     parts = _parts(base, row.value.split(CHUNK_BEGINS))
@@ -60,7 +60,7 @@
     )
 
 
-def with_difference(before: StoredRow | None, difference: RowDifference) -> StoredRow:
+def apply_difference(before: StoredRow | None, difference: RowDifference) -> StoredRow:
     """Return the row that a difference makes of the one before it.
 
     Raises :class:`DifferenceMismatch` where ``before`` is not the row that is meant.
--- a/packages/node/src/eelgrass_node/process/server_list.py
+++ b/packages/node/src/eelgrass_node/process/server_list.py
@@ -51,7 +51,7 @@
         self._remove_at: dict[BackendId, float] = {}
         self._outage_ended_at = float("-inf")
 
-    def take_rows(self, rows: tuple[StoredRow, ...]) -> None:
+    def apply_rows(self, rows: tuple[StoredRow, ...]) -> None:
         """Take in rows that changed."""
         for row in rows:
             server_id = BackendId(row.key)
@@ -61,7 +61,7 @@
                 self._listed(server_id, row.value)
         self._apply()
 
-    def take_whole(self, keys: set[str]) -> None:
+    def apply_snapshot(self, keys: set[str]) -> None:
         """Take in which entries there are, after a whole read."""
         for server_id in self._entry_by_id.keys() - keys:
             self._missing(server_id)
--- a/packages/node/src/eelgrass_node/process/stopping.py
+++ b/packages/node/src/eelgrass_node/process/stopping.py
@@ -42,7 +42,7 @@
             if self.count == 0:
                 self._idle.set()
 
-    def keep(self, task: asyncio.Task) -> asyncio.Task:
+    def track(self, task: asyncio.Task) -> asyncio.Task:
         """Hold a task until its end, and read its error if nobody else does."""
         self._tasks.add(task)
         task.add_done_callback(self._done)
--- a/packages/node/src/eelgrass_node/process/follow_pace.py
+++ b/packages/node/src/eelgrass_node/process/store_backoff.py
@@ -10,39 +10,44 @@
 
 import random
 
-__all__ = ["FIRST_PAUSE_S", "FollowPace", "READ_S", "TRY_S"]
+__all__ = [
+    "FIRST_DELAY_S",
+    "StoreBackoff",
+    "FULL_READ_RESPONSE_TIMEOUT_S",
+    "RESPONSE_TIMEOUT_S",
+]
 
 # A call that asks for nothing but what there is must begin to be answered in this time;
 # the store answers in 4 ms, and in 200 ms where it is slow. One that begins and then
 # stops is longer by 0.4 s, which the pauses below do not count.
-TRY_S = 0.6
+RESPONSE_TIMEOUT_S = 0.6
 # The first part of a whole read: a node that starts reads two tables over one link.
-READ_S = 1.0
+FULL_READ_RESPONSE_TIMEOUT_S = 1.0
 # After the first failure; short, since a call that waited for changes has already
 # taken 1.6 s to be given up.
-FIRST_PAUSE_S = 0.3
+FIRST_DELAY_S = 0.3
 # Kept back from the promise for the way of the change through the node.
 RESERVE = 0.1
 # Pauses vary by this part downwards, so that nodes do not all come back together.
 JITTER = 0.25
 
 
-class FollowPace:
+class StoreBackoff:
     """The pauses between tries of one table while the store does not answer.
 
     ``promised_s`` is the time within which a change must be in force, in seconds.
     """
 
     def __init__(self, promised_s: float) -> None:
-        left_s = promised_s * (1 - RESERVE) - READ_S
-        self.longest_s = max(FIRST_PAUSE_S, left_s)
-        self._next_s = FIRST_PAUSE_S
+        left_s = promised_s * (1 - RESERVE) - FULL_READ_RESPONSE_TIMEOUT_S
+        self.longest_s = max(FIRST_DELAY_S, left_s)
+        self._next_s = FIRST_DELAY_S
 
-    def note_answer(self) -> None:
+    def reset(self) -> None:
         """Note that the store has answered."""
-        self._next_s = FIRST_PAUSE_S
+        self._next_s = FIRST_DELAY_S
 
-    def pause_s(self) -> float:
+    def next_delay_s(self) -> float:
         """Return how long to wait before the next try; grows with each call."""
         pause_s = self._next_s * random.uniform(1 - JITTER, 1)
         self._next_s = min(self.longest_s, self._next_s * 2)
--- a/packages/node/src/eelgrass_node/process/store_tables.py
+++ b/packages/node/src/eelgrass_node/process/store_tables.py
@@ -14,9 +14,9 @@
 
 from ..exceptions import HistoryGone, StoreUnavailable
 from ..log import Part, log
-from .follow_pace import FollowPace
+from .store_backoff import StoreBackoff
 
-__all__ = ["FollowedTable", "StoredRow", "TableChanges", "TableReader"]
+__all__ = ["TableReplica", "StoredRow", "TableChanges", "TableReader"]
 
 # In bytes of the value; smaller rows fit into a few packets.
 LARGE_ROW_BYTES = 4096
@@ -55,7 +55,7 @@
         """Return changed rows; raises also :class:`HistoryGone`."""
 
 
-class FollowedTable:
+class TableReplica:
     """One table of the store, kept up to date by :meth:`run`.
 
     ``on_rows`` is told the rows that changed and from where they came, ``on_whole``
@@ -80,8 +80,8 @@
         self._on_whole = on_whole
         self._on_return = on_return
         self._wait_s = wait_s
-        self._lost_pace = FollowPace(promised_s)
-        self._gone_pace = FollowPace(promised_s)
+        self._lost_pace = StoreBackoff(promised_s)
+        self._gone_pace = StoreBackoff(promised_s)
         self._row_by_key: dict[str, StoredRow] = {}
         # Large rows that the one of their key has replaced.
         self._before_by_key: dict[str, StoredRow] = {}
@@ -103,23 +103,23 @@
             try:
                 if await self._step():
                     gone_before = False
-                    self._gone_pace.note_answer()
-                self._lost_pace.note_answer()
+                    self._gone_pace.reset()
+                self._lost_pace.reset()
             except HistoryGone:
                 self._whole = False
                 log(Part.STORE, "The history is gone; reading all.", table=self._table)
                 # Once is cured by reading all at once; where it is gone again
                 # straight after that, nothing is gained by haste.
                 if gone_before:
-                    await asyncio.sleep(self._gone_pace.pause_s())
+                    await asyncio.sleep(self._gone_pace.next_delay_s())
                 gone_before = True
             except StoreUnavailable as error:
-                again_s = self._lost_pace.pause_s()
+                again_s = self._lost_pace.next_delay_s()
                 self._note_lost(error, again_s)
                 await asyncio.sleep(again_s)
 
     @property
-    def known(self) -> bool:
+    def has_rows(self) -> bool:
         """Whether the table was ever read, or another node told of rows of it."""
         return self._version >= 0 or bool(self._row_by_key)
 
@@ -131,7 +131,7 @@
         """Return the row of a key as it is known, also where it is gone."""
         return self._row_by_key.get(key)
 
-    def large_row_before(self, key: str, version: int) -> StoredRow | None:
+    def previous_large_row(self, key: str, version: int) -> StoredRow | None:
         """Return the large row that the one of a key has replaced.
 
         None where there is none, or it was not there yet at a version.
@@ -146,7 +146,7 @@
         """The version up to which all changes are known; -1 before the first read."""
         return self._version
 
-    def whole(self) -> TableChanges:
+    def snapshot(self) -> TableChanges:
         """Return all rows that there are, as of the version that is known.
 
         Raises :class:`StoreUnavailable` where the table has yet to be read whole.
@@ -187,7 +187,7 @@
         except TimeoutError:
             return
 
-    def take_from_peer(self, rows: tuple[StoredRow, ...], node: str) -> None:
+    def apply_peer_rows(self, rows: tuple[StoredRow, ...], node: str) -> None:
         """Take in what another node, named by its address, knows of the table.
 
         All changes up to the version of this table are known here. An older row that
--- a/packages/node/src/eelgrass_node/process/table_relay.py
+++ b/packages/node/src/eelgrass_node/process/table_relay.py
@@ -23,7 +23,7 @@
 from ..exceptions import PeerUnreachable, StoreUnavailable
 from ..log import Part, log
 from .high_capacity_nodes import high_capacity_nodes
-from .store_tables import FollowedTable, StoredRow, TableChanges, TableReader
+from .store_tables import StoredRow, TableChanges, TableReader, TableReplica
 
 __all__ = ["RelayedReader", "StoreReader", "TableRelay", "relay_of", "relays_of"]
 
@@ -36,7 +36,7 @@
 RELAYS = 3
 # A relay that failed is passed over for this long; a frozen host wakes, and a dead
 # one is found dead, within a few seconds.
-DISTRUST_S = 3.0
+BACKOFF_S = 3.0
 # What a node read from the store itself this long ago still makes it a relay: the
 # pause, the wait and the slack until its next answer begins (1.6 s).
 FRESH_S = 2.0
@@ -114,7 +114,7 @@
         self._unsettled_tables: set[str] = set()
         self._source_by_table: dict[str, str] = {}
 
-    def reads_itself(self, table: str) -> bool:
+    def reads_from_store(self, table: str) -> bool:
         """Return whether this node has just read a table from the store, or does."""
         since = self._store.arriving_since(table)
         if since is not None and self._clock() - since <= ARRIVING_S:
@@ -247,7 +247,7 @@
         return self._distrusted_until.get(relay.id, 0.0) <= self._clock()
 
     def _note_failure(self, relay: Member, table: str, error: PeerUnreachable) -> None:
-        self._distrusted_until[relay.id] = self._clock() + DISTRUST_S
+        self._distrusted_until[relay.id] = self._clock() + BACKOFF_S
         log(
             Part.STORE,
             "The relay of a table does not answer; reading the store.",
@@ -262,15 +262,15 @@
 
     def __init__(
         self,
-        table_by_name: Mapping[str, FollowedTable],
-        reads_itself: Callable[[str], bool],
+        table_by_name: Mapping[str, TableReplica],
+        reads_from_store: Callable[[str], bool],
     ) -> None:
         self._table_by_name = table_by_name
-        self._reads_itself = reads_itself
+        self._reads_itself = reads_from_store
 
-    def large_row_before(self, name: str, key: str, version: int) -> StoredRow | None:
+    def previous_large_row(self, name: str, key: str, version: int) -> StoredRow | None:
         """Return the large row that the one of a key replaced after a version."""
-        return self._table_by_name[name].large_row_before(key, version)
+        return self._table_by_name[name].previous_large_row(key, version)
 
     async def changes(
         self, name: str, after: int | None, wait_s: float
@@ -291,7 +291,7 @@
             if not table.reachable or not self._reads_itself(name):
                 raise StoreUnavailable(name, "this node does not read the store")
             if after is None:
-                return table.whole()
+                return table.snapshot()
             changes = table.changes_after(after)
             if changes.rows or loop.time() >= end:
                 return changes
--- a/packages/node/tests/test_crash_table.py
+++ b/packages/node/tests/test_crash_table.py
@@ -54,7 +54,7 @@
                 changes[key] = None
         rows = tuple(StoredRow(key, 1, value) for key, value in changes.items())
         for reader in self.readers:
-            reader.take_rows(rows)
+            reader.apply_rows(rows)
 
 
 class Nodes:
@@ -172,29 +172,29 @@
     def test_rows_that_cannot_be_read_are_nothing(self):
         quarantine, table = self.table()
         odd = (b"", b"\xff", b"{}", b"[1]", b'{"request":1,"server":["e",0],"at_ms":0}')
-        table.take_rows(tuple(StoredRow(f"x{n}", 1, v) for n, v in enumerate(odd)))
+        table.apply_rows(tuple(StoredRow(f"x{n}", 1, v) for n, v in enumerate(odd)))
         assert len(quarantine) == 0
 
     def test_a_row_from_a_host_whose_clock_is_ahead_counts(self):
         quarantine, table = self.table()
-        table.take_rows((self.row("a", at_ms=20_000_000),))
+        table.apply_rows((self.row("a", at_ms=20_000_000),))
         assert quarantine.suspects(POISON)
 
     def test_a_whole_read_drops_rows_that_are_gone(self):
         quarantine, table = self.table()
         keys = [self.key("e1"), self.key("e2")]
-        table.take_rows((self.row(keys[0]), self.row(keys[1], server=["e2", 0])))
+        table.apply_rows((self.row(keys[0]), self.row(keys[1], server=["e2", 0])))
         assert len(quarantine.ended_under(POISON)) == 2
-        table.take_whole({keys[1]})
+        table.apply_snapshot({keys[1]})
         assert len(quarantine.ended_under(POISON)) == 1
-        table.take_rows((StoredRow(keys[1], 2, None), StoredRow("unknown", 3, None)))
+        table.apply_rows((StoredRow(keys[1], 2, None), StoredRow("unknown", 3, None)))
         assert len(quarantine) == 0
 
     def test_a_row_that_is_removed_before_it_was_read_is_forgotten(self):
         """Marks had told of the end; the operator cleared the request at once."""
         quarantine, table = self.table()
         quarantine.take(POISON, ServerLife(BackendId("e1")))
-        table.take_rows((StoredRow(self.key("e1"), 2, None),))
+        table.apply_rows((StoredRow(self.key("e1"), 2, None),))
         assert len(quarantine) == 0
 
 
--- a/packages/node/tests/test_deployments.py
+++ b/packages/node/tests/test_deployments.py
@@ -18,11 +18,11 @@
     def test_it_is_until_the_newer_one_is_in_force(self):
         async def main():
             found = deployments()
-            found.take(b"42", "store")
+            found.apply(b"42", "store")
             states = [found.superseded]
-            found.hear(51)
+            found.on_number_announced(51)
             states.append(found.superseded)
-            found.take(b"51", "store")
+            found.apply(b"51", "store")
             return [*states, found.superseded]
 
         assert run_in_simulated_time(main()) == [False, True, False]
@@ -32,10 +32,10 @@
 
         async def main():
             found = deployments()
-            found.take(b"42", "store")
-            found.hear(51)
-            found.hear(44)
-            found.take(b"44", "node")
+            found.apply(b"42", "store")
+            found.on_number_announced(51)
+            found.on_number_announced(44)
+            found.apply(b"44", "node")
             return found.superseded
 
         assert run_in_simulated_time(main())
@@ -49,12 +49,12 @@
 
         async def main():
             found = deployments()
-            found.take(b"42", "store")
+            found.apply(b"42", "store")
             for _ in range(int(AWAITED_S) + 2):
-                found.hear(51)
+                found.on_number_announced(51)
                 await asyncio.sleep(1.0)
             gone = found.superseded
-            found.hear(52)
+            found.on_number_announced(52)
             return gone, found.superseded
 
         assert run_in_simulated_time(main()) == (False, True)
@@ -64,13 +64,13 @@
 
         async def main():
             found = deployments()
-            found.take(b"42", "store")
-            found.hear(10**9)
+            found.apply(b"42", "store")
+            found.on_number_announced(10**9)
             await asyncio.sleep(AWAITED_S + 1.0)
-            found.hear(43)
+            found.on_number_announced(43)
             states = [found.superseded]
-            found.hear(10**9)
-            found.take(b"43", "store")
+            found.on_number_announced(10**9)
+            found.apply(b"43", "store")
             return [*states, found.superseded]
 
         assert run_in_simulated_time(main()) == [True, False]
@@ -80,10 +80,10 @@
 
         async def main():
             found = deployments()
-            found.take(b"42", "store")
+            found.apply(b"42", "store")
             states = []
             for _ in range(4 * int(AWAITED_S)):
-                found.hear(51)
+                found.on_number_announced(51)
                 states.append(found.superseded)
                 await asyncio.sleep(1.0)
             return states[int(AWAITED_S) + 1 :]
@@ -95,10 +95,10 @@
 
         async def main():
             found = deployments()
-            found.take(b"42", "store")
+            found.apply(b"42", "store")
             states = []
             for second in range(6 * int(AWAITED_S)):
-                found.hear(51 + second % 2)
+                found.on_number_announced(51 + second % 2)
                 states.append(found.superseded)
                 await asyncio.sleep(1.0)
             return states[2 * int(AWAITED_S) + 4 :]
--- a/packages/node/tests/test_evacuations.py
+++ b/packages/node/tests/test_evacuations.py
@@ -38,7 +38,7 @@
 
     def read(self, version, value=b"{}", place=NORTH):
         self.complete_to = max(self.complete_to, version)
-        self.evacuations.take_rows([StoredRow(PREFIX + place, version, value)])
+        self.evacuations.apply_rows([StoredRow(PREFIX + place, version, value)])
 
     def covers(self, place=NORTH):
         return self.evacuations.covers(place)
@@ -75,13 +75,13 @@
         place.read(5)
         place.read(6, place=SOUTH)
         place.complete_to = 9
-        place.evacuations.take_whole({"config", PREFIX + SOUTH})
+        place.evacuations.apply_snapshot({"config", PREFIX + SOUTH})
         assert not place.covers()
         assert place.covers(SOUTH)
 
     async def test_rows_of_other_kinds_are_left_alone(self, place):
         rows = [StoredRow(key, 5, b"{}") for key in ("config", PREFIX, "evacuated/x")]
-        place.evacuations.take_rows(rows)
+        place.evacuations.apply_rows(rows)
         assert not place.evacuations.since_by_data_centre
 
     # Guards against a value that nobody can read and that hides the operator's wish.
@@ -99,7 +99,7 @@
         place.reachable = False
         place.evacuations.hear(NORTH, 5, True)
         place.clock.now += 100 * TOLD_S
-        place.evacuations.take_whole(set())
+        place.evacuations.apply_snapshot(set())
         assert place.covers()
 
     # Guards against a faulty node that shuts a data centre for good.
@@ -184,22 +184,22 @@
 
     async def test_they_get_no_new_work_until_it_ends(self):
         backends, places = await self.places()
-        places.evacuations.take_rows([StoredRow(PREFIX + "north", 5, b"{}")])
+        places.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
         assert [s.entry.id for s in backends.usable("readers")] == ["s1"]
-        places.evacuations.take_rows([StoredRow(PREFIX + "north", 6, None)])
+        places.evacuations.apply_rows([StoredRow(PREFIX + "north", 6, None)])
         assert len(backends.usable("readers")) == 2
 
     async def test_one_that_comes_meanwhile_gets_none_either(self):
         backends, places = await self.places()
-        places.evacuations.take_rows([StoredRow(PREFIX + "north", 5, b"{}")])
+        places.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
         backends.update([listed("n1", "north"), listed("n2", "north")])
         assert backends.usable("readers") == []
 
     # Guards against a rush on servers that became cold while they were empty.
     async def test_they_are_taken_for_cold_when_it_ends(self):
         backends, places = await self.places()
-        places.evacuations.take_rows([StoredRow(PREFIX + "north", 5, b"{}")])
-        places.evacuations.take_rows([StoredRow(PREFIX + "north", 6, None)])
+        places.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
+        places.evacuations.apply_rows([StoredRow(PREFIX + "north", 6, None)])
         now = asyncio.get_running_loop().time()
         assert backends.by_id[BackendId("n1")].is_cold(now)
         assert not backends.by_id[BackendId("s1")].is_cold(now)
--- a/packages/node/tests/test_gone_rows.py
+++ b/packages/node/tests/test_gone_rows.py
@@ -7,7 +7,7 @@
 from eelgrass_node.exceptions import HistoryGone
 from eelgrass_node.process import store_tables as store_tables_module
 from support.entry import until
-from support.store_rows import changes, followed_table, row
+from support.store_rows import changes, row, table_replica
 
 MOST_GONE = 3
 
@@ -35,9 +35,9 @@
 async def table(monkeypatch):
     monkeypatch.setattr(store_tables_module, "MAX_GONE", MOST_GONE)
     store = EndlessStore(40)
-    followed = followed_table(store, "t")
+    followed = table_replica(store, "t")
     task = asyncio.create_task(followed.run())
-    await until(lambda: len(followed.rows()) and followed.whole().version == 40)
+    await until(lambda: len(followed.rows()) and followed.snapshot().version == 40)
     yield followed
     task.cancel()
 
--- a/packages/node/tests/test_peer_catch_up.py
+++ b/packages/node/tests/test_peer_catch_up.py
@@ -42,7 +42,7 @@
         loop = asyncio.get_running_loop()
         catch_up = others.catch_up()
         for name in names:
-            catch_up.heard(2, member(name), 0.0)
+            catch_up.on_number_announced(2, member(name), 0.0)
             await asyncio.sleep(gap_s)
         while others.number < 2 and loop.time() < last_s:  # noqa: ASYNC110
             await asyncio.sleep(0.01)
@@ -77,7 +77,7 @@
                 lambda: [],
                 lambda: others.number < 2,
             )
-            catch_up.heard(2, member("a"), 0.0)
+            catch_up.on_number_announced(2, member("a"), 0.0)
             await asyncio.sleep(0.9)
             others.number = 2
             await asyncio.sleep(2.0)
@@ -99,7 +99,7 @@
                 lambda: True,
             )
             for name in ("a", "b"):
-                catch_up.heard(2, member(name), 0.0)
+                catch_up.on_number_announced(2, member(name), 0.0)
             while others.number < 2:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
             loop_time.append(asyncio.get_running_loop().time())
@@ -118,7 +118,7 @@
 
         async def hear():
             others.newest = 2
-            others.catch_up().heard(2, member("a"), 0.0)
+            others.catch_up().on_number_announced(2, member("a"), 0.0)
             others.number = 2
             await asyncio.sleep(2.0)
 
--- a/packages/node/tests/test_platform_codecs.py
+++ b/packages/node/tests/test_platform_codecs.py
@@ -81,7 +81,7 @@
         settings = load_host_settings(file)
         assert settings.node == "edge-1"
         assert settings.gossip == "10.1.0.41:7740"
-        assert settings.seed_gossip() == ["10.2.0.25:7740"]
+        assert settings.seed_gossip_addresses() == ["10.2.0.25:7740"]
         assert settings.bounds.retry_slack == 56
         assert settings.cores == 0.516
         # The link of 5 Mbit/s is the narrower part.
--- a/packages/node/tests/test_row_difference.py
+++ b/packages/node/tests/test_row_difference.py
@@ -13,12 +13,12 @@
 from eelgrass_node.connection.peer_calls import PeerCalls
 from eelgrass_node.connection.table_feed import TableFeedClient, TableFeedInterface
 from eelgrass_node.exceptions import DifferenceMismatch
-from eelgrass_node.process.row_difference import difference_of, with_difference
+from eelgrass_node.process.row_difference import apply_difference, compute_difference
 from eelgrass_node.process.table_relay import TableRelay
 from support.entry import route
 from support.fault_proxy import FaultProxy, Link
 from support.narrow_links import large_configuration
-from support.store_rows import changes, followed_table, row
+from support.store_rows import changes, row, table_replica
 
 TABLE = "op"
 SEEDS = 300
@@ -46,12 +46,12 @@
         value = bytes(randomness.choices(b"{}ab", k=randomness.randint(0, 60)))
         before = row("config", 1, value)
         after = row("config", 2, edited(value, randomness))
-        assert with_difference(before, difference_of(before, after)) == after
+        assert apply_difference(before, compute_difference(before, after)) == after
 
     def test_a_small_change_of_a_large_configuration_is_small(self):
         before = configured(5)
         after = configured(6, route("newest", "idempotent", "desk"))
-        told = msgspec.json.encode(difference_of(before, after))
+        told = msgspec.json.encode(compute_difference(before, after))
         assert len(told) < 1000 < 400_000 < len(after.value)
 
     @pytest.mark.parametrize(
@@ -59,16 +59,16 @@
     )
     def test_it_is_not_taken_for_another_row(self, known):
         meant = row("config", 5, b"{a}{b}")
-        difference = difference_of(meant, row("config", 6, b"{a}{c}"))
+        difference = compute_difference(meant, row("config", 6, b"{a}{c}"))
         with pytest.raises(DifferenceMismatch):
-            with_difference(known, difference)
+            apply_difference(known, difference)
 
     def test_nor_for_another_value_of_that_version(self):
-        difference = difference_of(
+        difference = compute_difference(
             row("config", 5, b"{a}{b}"), row("config", 6, b"{a}{c}")
         )
         with pytest.raises(DifferenceMismatch):
-            with_difference(row("config", 5, b"{x}{b}"), difference)
+            apply_difference(row("config", 5, b"{x}{b}"), difference)
 
 
 class TestFeed:
@@ -77,7 +77,7 @@
     @pytest.fixture
     async def feed(self):
         older, newer = configured(5), configured(6)
-        table = followed_table(None, TABLE)
+        table = table_replica(None, TABLE)
         table._take_whole(changes(5, older))
         table._take(changes(6, newer))
         app = web.Application()
@@ -117,12 +117,12 @@
         assert await feed.ask(5) == changes(6)
 
     async def test_one_that_knew_less_than_the_row_before_gets_it_whole(self, feed):
-        table = followed_table(None, TABLE)
+        table = table_replica(None, TABLE)
         table._take_whole(changes(4))
         table._take(changes(5, feed.older))
         table._take(changes(6, feed.newer))
-        assert table.large_row_before("config", 4) is None
-        assert table.large_row_before("config", 5) == feed.older
+        assert table.previous_large_row("config", 4) is None
+        assert table.previous_large_row("config", 5) == feed.older
 
     async def test_the_whole_table_is_told_whole(self, feed):
         assert await feed.ask(None) == changes(6, feed.newer)
--- a/packages/node/tests/test_store_following.py
+++ b/packages/node/tests/test_store_following.py
@@ -18,11 +18,11 @@
 from eelgrass_node.process import server_list as server_list_module, supervision
 from eelgrass_node.process.backends import Backends, BackendState, HostEntry
 from eelgrass_node.process.deployments import DeploymentInForce
-from eelgrass_node.process.follow_pace import TRY_S
 from eelgrass_node.process.server_list import ServerList
+from eelgrass_node.process.store_backoff import RESPONSE_TIMEOUT_S
 from eelgrass_node.version.deployment import CallerLimits, Deployment
 from support.connections import listen
-from support.store_rows import changes, followed_table, row
+from support.store_rows import changes, row, table_replica
 
 
 class Script:
@@ -53,7 +53,7 @@
 async def follow(*answers):
     script = Script(*answers)
     taken, whole = [], []
-    table = followed_table(
+    table = table_replica(
         script,
         "t",
         on_rows=lambda rows, source: taken.extend((r.key, r.version) for r in rows),
@@ -86,7 +86,7 @@
         """Found by the soak: 483 whole reads in a second, each of them paid for."""
         answers = [changes(5), HistoryGone("t")] * 50
         script = Script(*answers)
-        table = followed_table(script, "t")
+        table = table_replica(script, "t")
         task = asyncio.create_task(table.run())
         await asyncio.sleep(0.5)
         task.cancel()
@@ -130,7 +130,7 @@
         removed is kept; the other node had not seen the removal yet.
         """
         taken = []
-        table = followed_table(
+        table = table_replica(
             Script(changes(5, row("a", 3)), HistoryGone("t"), changes(9)),
             "t",
             on_rows=lambda rows, source: taken.extend((r.key, r.value) for r in rows),
@@ -138,7 +138,7 @@
         task = asyncio.create_task(table.run())
         await asyncio.sleep(0.05)
         assert table.rows() == ()
-        table.take_from_peer((row("a", 3), row("b", 12)), "n1:1")
+        table.apply_peer_rows((row("a", 3), row("b", 12)), "n1:1")
         task.cancel()
         assert taken == [("a", b"x"), ("b", b"x")]
         assert [r.key for r in table.rows()] == ["b"]
@@ -167,8 +167,8 @@
         self.left = []
         self.backends = Backends()
         servers = ServerList(self.backends, decode, self.left.append)
-        servers.take_rows(tuple(row(key, 1, b"{}") for key in keys))
-        servers.take_whole(set(keys))
+        servers.apply_rows(tuple(row(key, 1, b"{}") for key in keys))
+        servers.apply_snapshot(set(keys))
         return servers
 
     def usable(self):
@@ -176,55 +176,55 @@
 
     async def test_a_leaving_server_gets_no_new_work(self):
         servers = self.listing("i1", "i2")
-        servers.take_rows((row("i1", 2, b'{"state": "leaving"}'),))
+        servers.apply_rows((row("i1", 2, b'{"state": "leaving"}'),))
         assert self.usable() == {"i2"}
         assert self.left == ["i1"]
 
     async def test_a_removed_server_is_gone_at_once(self):
         servers = self.listing("i1", "i2")
-        servers.take_rows((row("i1", 2, None),))
+        servers.apply_rows((row("i1", 2, None),))
         assert self.usable() == {"i2"}
 
     async def test_entries_that_lapsed_in_an_outage_may_come_back(self):
         servers = self.listing("i1", "i2")
         servers.note_outage_end()
-        servers.take_whole({"i2"})
+        servers.apply_snapshot({"i2"})
         assert self.usable() == {"i1", "i2"}
-        servers.take_rows((row("i1", 3, b"{}"),))
+        servers.apply_rows((row("i1", 3, b"{}"),))
         await asyncio.sleep(0.3)
         assert self.usable() == {"i1", "i2"}
 
     async def test_also_where_the_feed_tells_of_them(self):
         servers = self.listing("i1", "i2")
         servers.note_outage_end()
-        servers.take_rows((row("i1", 2, None),))
+        servers.apply_rows((row("i1", 2, None),))
         assert self.usable() == {"i1", "i2"}
 
     async def test_one_still_missing_then_is_gone(self):
         servers = self.listing("i1", "i2")
         servers.note_outage_end()
-        servers.take_whole({"i2"})
+        servers.apply_snapshot({"i2"})
         await asyncio.sleep(0.3)
         assert self.usable() == {"i2"}
 
     async def test_a_malformed_entry_names_no_server_and_the_others_hold(self):
         servers = self.listing("i1", "i2")
-        servers.take_rows((row("i1", 2, b"bad"), row("i3", 3, b"bad")))
+        servers.apply_rows((row("i1", 2, b"bad"), row("i3", 3, b"bad")))
         assert self.usable() == {"i2"}
 
     async def test_its_server_is_used_again_once_it_is_listed_well(self):
         servers = self.listing("i1", "i2")
-        servers.take_rows((row("i1", 2, b"bad"),))
-        servers.take_rows((row("i1", 3, b"{}"),))
+        servers.apply_rows((row("i1", 2, b"bad"),))
+        servers.apply_rows((row("i1", 3, b"{}"),))
         assert self.usable() == {"i1", "i2"}
 
     async def test_a_server_that_starts_again_takes_the_place_of_its_earlier_life(self):
         servers = self.listing("i1")
-        servers.take_rows((row("i1", 2, b'{"started": 5}'),))
+        servers.apply_rows((row("i1", 2, b'{"started": 5}'),))
         [earlier] = self.backends.usable("s")
         earlier.suspect()
         earlier.note_load(60, 9)
-        servers.take_rows((row("i1", 3, b'{"started": 9}'),))
+        servers.apply_rows((row("i1", 3, b'{"started": 9}'),))
         [later] = self.backends.usable("s")
         assert later is not earlier and later.entry.started == 9
         assert later.suspect_until == 0.0 and later.load_at(0.0) == (0, 0)
@@ -233,9 +233,9 @@
 
     async def test_a_life_that_left_does_not_hold_back_the_next_one(self):
         servers = self.listing("i1")
-        servers.take_rows((row("i1", 2, b'{"started": 5, "state": "leaving"}'),))
+        servers.apply_rows((row("i1", 2, b'{"started": 5, "state": "leaving"}'),))
         assert self.usable() == set()
-        servers.take_rows((row("i1", 3, b'{"started": 9}'),))
+        servers.apply_rows((row("i1", 3, b'{"started": 9}'),))
         assert self.usable() == {"i1"}
 
     @pytest.mark.parametrize(
@@ -244,22 +244,22 @@
     async def test_news_of_an_earlier_life_changes_nothing(self, stale):
         """A delayed write of an earlier life lands after the next life's first."""
         servers = self.listing("i1")
-        servers.take_rows((row("i1", 2, b'{"started": 9}'),))
+        servers.apply_rows((row("i1", 2, b'{"started": 9}'),))
         [known] = self.backends.usable("s")
-        servers.take_rows((row("i1", 3, stale),))
+        servers.apply_rows((row("i1", 3, stale),))
         assert self.backends.usable("s") == [known]
 
     async def test_also_after_the_server_was_removed(self):
         servers = self.listing("i1", "i2")
-        servers.take_rows((row("i1", 2, b'{"started": 9}'), row("i1", 3, None)))
-        servers.take_rows((row("i1", 4, b'{"started": 5}'),))
+        servers.apply_rows((row("i1", 2, b'{"started": 9}'), row("i1", 3, None)))
+        servers.apply_rows((row("i1", 4, b'{"started": 5}'),))
         assert self.usable() == {"i2"}
 
     async def test_a_replaced_life_does_not_take_the_next_one_with_it(self):
         servers = self.listing("i1")
-        servers.take_rows((row("i1", 2, b'{"started": 5}'),))
+        servers.apply_rows((row("i1", 2, b'{"started": 5}'),))
         [earlier] = self.backends.usable("s")
-        servers.take_rows((row("i1", 3, b'{"started": 9}'),))
+        servers.apply_rows((row("i1", 3, b'{"started": 9}'),))
         servers.forget(earlier.entry.life)
         assert self.usable() == {"i1"}
         servers.forget(self.backends.usable("s")[0].entry.life)
@@ -272,7 +272,7 @@
         servers = self.listing("kept")
         for number in range(50):
             key = f"i{number}"
-            servers.take_rows((row(key, number, b"{}"), row(key, number + 1, None)))
+            servers.apply_rows((row(key, number, b"{}"), row(key, number + 1, None)))
         assert len(servers._newest_start_by_id) <= 11
         assert "kept" in servers._newest_start_by_id
 
@@ -299,10 +299,10 @@
     async def test_it_never_goes_back(self):
         heard = []
         in_force = DeploymentInForce("config", self.decode, heard.append)
-        in_force.take_rows((row("config", 1, b"5"), row("other", 2, b"9")), "store")
-        assert in_force.take(b"4", "peer") is False
+        in_force.apply_rows((row("config", 1, b"5"), row("other", 2, b"9")), "store")
+        assert in_force.apply(b"4", "peer") is False
         assert in_force.number == 5
-        assert in_force.take(b"8", "peer") is True
+        assert in_force.apply(b"8", "peer") is True
         assert heard == [5, 8]
 
 
@@ -330,7 +330,7 @@
     async def test_a_call_to_the_store_keeps_its_cancellation(self):
         server, address = await self.silent_server()
         store = RowStore(address)
-        await self.cancel_with_the_timeout(store.feed("t", 1, 0.0), TRY_S)
+        await self.cancel_with_the_timeout(store.feed("t", 1, 0.0), RESPONSE_TIMEOUT_S)
         await store.close()
         server.close()
 
--- a/packages/node/tests/test_store_logs.py
+++ b/packages/node/tests/test_store_logs.py
@@ -10,7 +10,7 @@
 from support.clock import Clock
 from support.log_lines import log_lines
 from support.members import member
-from support.store_rows import LostStore, changes, followed_table, row
+from support.store_rows import UnreachableStore, changes, row, table_replica
 
 TABLE = "op"
 
@@ -21,7 +21,7 @@
 
 class TestFailures:
     async def test_each_failure_is_told_with_its_reason_and_the_next_try(self):
-        table = followed_table(LostStore("TimeoutError"), TABLE)
+        table = table_replica(UnreachableStore("TimeoutError"), TABLE)
         with log_lines() as lines:
             task = asyncio.create_task(table.run())
             await asyncio.sleep(0.6)
@@ -35,13 +35,13 @@
 
     async def test_rows_from_another_node_are_told_as_such(self):
         sources = []
-        table = followed_table(
-            LostStore("TimeoutError"),
+        table = table_replica(
+            UnreachableStore("TimeoutError"),
             TABLE,
             on_rows=lambda rows, source: sources.append(source),
         )
         with log_lines() as lines:
-            table.take_from_peer((row("config", 7),), "10.0.0.2:1")
+            table.apply_peer_rows((row("config", 7),), "10.0.0.2:1")
         [line] = of(lines, "Rows came from another node.")
         assert (line["node"], line["newest"], line["complete_to"]) == (
             "10.0.0.2:1",
@@ -58,7 +58,7 @@
 
         relays = [member("relay"), member("relay"), None, None]
 
-        class Store(LostStore):
+        class Store(UnreachableStore):
             async def feed(self, table, after, wait_s):
                 return changes(5)
 
--- a/packages/node/tests/test_store_return.py
+++ b/packages/node/tests/test_store_return.py
@@ -23,7 +23,7 @@
 import pytest
 
 from support.simulated_time import run_in_simulated_time
-from support.store_day import Outage, StoreDay
+from support.store_simulation import Outage, StoreSimulation
 
 # What is promised, after the later of the confirmation and the store's return.
 IN_FORCE_S = 2.0
@@ -33,9 +33,9 @@
 
 class TestTurnedAwayRelay:
     async def incident(self):
-        relay = StoreDay.relay()
+        relay = StoreSimulation.relay()
         silent = Outage(10.3, 12.1)
-        day = StoreDay([Outage(4.0, 20.0, frozenset({relay})), silent])
+        day = StoreSimulation([Outage(4.0, 20.0, frozenset({relay})), silent])
         day.change()
         running = asyncio.create_task(day.run(until=19.0))
         await asyncio.sleep(11.0)
@@ -74,7 +74,7 @@
                     randomness.random() < 0.3,
                 )
             )
-        day = StoreDay(outages, nodes=count)
+        day = StoreSimulation(outages, nodes=count)
         number = day.change()
         day.list_server("i1")
         running = asyncio.create_task(day.run(until=30.0))
@@ -135,7 +135,7 @@
     """Each call is paid for: in an outage 82 nodes once made 4,000 in 8 s."""
 
     async def calls_per_node(self, promised_s, refuses):
-        day = StoreDay([Outage(5.0, 13.0, None, refuses)], promised_s=promised_s)
+        day = StoreSimulation([Outage(5.0, 13.0, None, refuses)], promised_s=promised_s)
         day.change()
         day.list_server("i1")
         calls = await day.calls_between(5.0, 13.0, until=14.0)
--- a/packages/node/tests/test_table_relay.py
+++ b/packages/node/tests/test_table_relay.py
@@ -8,10 +8,10 @@
 from eelgrass_coordination import MemberState
 from eelgrass_node.exceptions import HistoryGone, PeerUnreachable, StoreUnavailable
 from eelgrass_node.process import platform_tables, table_relay
-from eelgrass_node.process.follow_pace import TRY_S
+from eelgrass_node.process.store_backoff import RESPONSE_TIMEOUT_S
 from eelgrass_node.process.table_relay import (
     ARRIVING_S,
-    DISTRUST_S,
+    BACKOFF_S,
     RELAY_WAIT_S,
     RelayedReader,
     TableRelay,
@@ -20,8 +20,8 @@
 from support.clock import Clock
 from support.members import member
 from support.simulated_time import run_in_simulated_time
-from support.store_day import Outage, StoreDay
-from support.store_rows import PROMISED_S, changes, followed_table, row
+from support.store_rows import PROPAGATION_DEADLINE_S, changes, row, table_replica
+from support.store_simulation import Outage, StoreSimulation
 
 TABLE = "servers"
 
@@ -93,15 +93,15 @@
     async def test_changes_come_from_the_relay(self):
         assert (await self.reader.feed(TABLE, 4, 1.0)).version == 6
         assert self.store.asked == 0
-        assert not self.reader.reads_itself(TABLE)
+        assert not self.reader.reads_from_store(TABLE)
 
     async def test_a_relay_that_does_not_answer_is_passed_over_for_a_while(self):
         self.relay.answer = PeerUnreachable("relay:1", "silent")
         for _ in range(3):
             assert (await self.reader.feed(TABLE, 4, 1.0)).version == 5
         assert (self.relay.asked, self.store.asked) == (1, 3)
-        assert self.reader.reads_itself(TABLE)
-        self.clock.now = DISTRUST_S
+        assert self.reader.reads_from_store(TABLE)
+        self.clock.now = BACKOFF_S
         await self.reader.feed(TABLE, 4, 1.0)
         assert self.relay.asked == 2
 
@@ -136,16 +136,16 @@
         self.relay.answer = StoreUnavailable(TABLE, "the relay does not read it")
         await self.reader.feed(TABLE, 4, 1.0)
         self.clock.now += 10.0
-        assert not self.reader.reads_itself(TABLE)
+        assert not self.reader.reads_from_store(TABLE)
         self.store.since = self.clock.now
         self.clock.now += ARRIVING_S
-        assert self.reader.reads_itself(TABLE)
+        assert self.reader.reads_from_store(TABLE)
 
     async def test_one_to_which_it_comes_too_slowly_is_none(self):
         """Its followers are told of no change meanwhile, and did not ask the store."""
         self.store.since = self.clock.now
         self.clock.now += ARRIVING_S + 0.1
-        assert not self.reader.reads_itself(TABLE)
+        assert not self.reader.reads_from_store(TABLE)
 
     async def test_a_relay_that_does_not_know_the_version_says_so(self):
         self.relay.answer = HistoryGone(TABLE)
@@ -234,13 +234,13 @@
         ("pause_s", "wait_s"),
         [
             (0.0, platform_tables.CONFIGURATION_WAIT_S),
-            (platform_tables.SERVERS_PAUSE_S, platform_tables.SERVERS_WAIT_S),
+            (platform_tables.SERVERS_FEED_DELAY_S, platform_tables.SERVERS_WAIT_S),
             (0.0, platform_tables.CRASHES_WAIT_S),
         ],
     )
     def test_a_relay_stays_one_until_its_next_answer(self, pause_s, wait_s):
         """Longer waits made its followers go to the store after each of them."""
-        assert pause_s + wait_s + TRY_S < table_relay.FRESH_S
+        assert pause_s + wait_s + RESPONSE_TIMEOUT_S < table_relay.FRESH_S
 
 
 class TestWholeReads:
@@ -281,7 +281,7 @@
 
     def test_each_node_asks_the_store_once_for_each_table(self):
         async def main():
-            day = StoreDay(nodes=39, agreed_at=0.4)
+            day = StoreSimulation(nodes=39, agreed_at=0.4)
             day.change()
             await day.run(3.0)
             return day.store.calls
@@ -291,7 +291,7 @@
 
     def test_a_change_just_after_the_first_read_is_in_force_in_time(self):
         async def main():
-            day = StoreDay(nodes=39, agreed_at=0.4)
+            day = StoreSimulation(nodes=39, agreed_at=0.4)
             day.change()
             running = asyncio.create_task(day.run(4.0))
             await asyncio.sleep(0.01)
@@ -300,7 +300,7 @@
             await running
             return [day.taken_at[m.id, number] - changed_at for m in day.members]
 
-        assert max(run_in_simulated_time(main())) <= PROMISED_S
+        assert max(run_in_simulated_time(main())) <= PROPAGATION_DEADLINE_S
 
 
 class TestTurnedAwayRelay:
@@ -308,8 +308,10 @@
 
     def test_the_next_one_reads_for_the_others(self):
         async def main():
-            outage = Outage(5.0, 14.0, frozenset({StoreDay.relay(39)}), refuses=True)
-            day = StoreDay([outage], nodes=39)
+            outage = Outage(
+                5.0, 14.0, frozenset({StoreSimulation.relay(39)}), refuses=True
+            )
+            day = StoreSimulation([outage], nodes=39)
             day.change()
             return await day.calls_between(5.0, 14.0, until=15.0)
 
@@ -320,9 +322,11 @@
 
 class TestRelay:
     def setup_method(self):
-        self.table = followed_table(Source(changes(0)), TABLE)
-        self.reads_itself = True
-        self.relay = TableRelay({TABLE: self.table}, lambda table: self.reads_itself)
+        self.table = table_replica(Source(changes(0)), TABLE)
+        self.reads_from_store = True
+        self.relay = TableRelay(
+            {TABLE: self.table}, lambda table: self.reads_from_store
+        )
         self.table._take_whole(changes(5, row("a", 3)))
 
     async def test_changes_wake_those_that_wait(self):
@@ -350,7 +354,7 @@
 
     async def test_rows_from_other_nodes_end_no_wait(self):
         """They are newer than what is complete here, and would come back for ever."""
-        self.table.take_from_peer((row("a", 9),), "n1:1")
+        self.table.apply_peer_rows((row("a", 9),), "n1:1")
         assert await self.relay.changes(TABLE, 5, 0.02) == changes(5)
         self.table._take(changes(10))
         found = await self.relay.changes(TABLE, 5, 0.02)
@@ -370,6 +374,6 @@
 
     async def test_one_that_follows_a_relay_itself_is_none(self):
         """Two nodes that follow each other would never hear of a change."""
-        self.reads_itself = False
+        self.reads_from_store = False
         with pytest.raises(StoreUnavailable):
             await self.relay.changes(TABLE, 5, 0.02)
--- a/packages/node/tests/test_version_paths.py
+++ b/packages/node/tests/test_version_paths.py
@@ -30,19 +30,19 @@
 
 from eelgrass_node.exceptions import StoreUnavailable
 from eelgrass_node.process.deployments import DeploymentInForce
-from eelgrass_node.process.follow_pace import FollowPace
-from eelgrass_node.process.store_tables import FollowedTable
+from eelgrass_node.process.store_backoff import StoreBackoff
+from eelgrass_node.process.store_tables import TableReplica
 from eelgrass_node.process.table_relay import RelayedReader
 from support.simulated_time import run_in_simulated_time
-from support.store_day import Outage
-from support.version_day import VersionDay
-from support.version_plan import Change, Freeze, Plan, Stale
-from support.version_plans import plans
-from support.version_promises import (
-    broken_promises,
+from support.store_simulation import Outage
+from support.version_guarantees import (
+    guarantee_violations,
     late_through_any_relay,
-    late_through_relays,
+    late_through_first_relay,
 )
+from support.version_plan import Change, Freeze, Plan, StaleReads
+from support.version_plans import plans
+from support.version_simulation import VersionSimulation
 
 # Some 40 ms each; in thousands by hand.
 EXAMPLES = int(os.environ.get("EELGRASS_PATH_EXAMPLES", "240"))
@@ -66,10 +66,10 @@
 
 
 def played(plan):
-    return run_in_simulated_time(VersionDay(plan).run())
+    return run_in_simulated_time(VersionSimulation(plan).run())
 
 
-def broken_with_any_seed(plan, judge=broken_promises):
+def broken_with_any_seed(plan, judge=guarantee_violations):
     return [
         (seed, broken)
         for seed in range(SEEDS)
@@ -81,12 +81,12 @@
     @searched(EXAMPLES)
     @hypothesis.given(plans())
     def test_no_promise_is_broken(self, plan):
-        assert broken_promises(played(plan)) == []
+        assert guarantee_violations(played(plan)) == []
 
     @searched(RELAY_EXAMPLES)
     @hypothesis.given(plans())
     def test_a_relay_passes_on_which_servers_there_are(self, plan):
-        assert list(late_through_relays(played(plan))) == []
+        assert list(late_through_first_relay(played(plan))) == []
 
 
 # The relay of the operator's table is turned away; then the store is silent for all.
@@ -106,7 +106,7 @@
 OLD_STATES = Plan(
     "aaa",
     (*LISTED, Change(2.0)),
-    (Outage(2.0, 2.05), Stale(2.57, 2.92, 2.58)),
+    (Outage(2.0, 2.05), StaleReads(2.57, 2.92, 2.58)),
     (2.0,),
 )
 REFUSED = Plan("a", (*LISTED, Change(4.0)), (Outage(2.0, 2.45, None, True),))
@@ -157,10 +157,10 @@
                 table._take_whole(await table._reader.read_table(table._table))
             return table._whole
 
-        monkeypatch.setattr(DeploymentInForce, "take", take_any)
-        monkeypatch.setattr(FollowedTable, "_step", believe_any)
-        monkeypatch.setattr(FollowedTable, "_is_news", lambda table, row: True)
-        old = Stale(3.0, 3.3, 1.5)
+        monkeypatch.setattr(DeploymentInForce, "apply", take_any)
+        monkeypatch.setattr(TableReplica, "_step", believe_any)
+        monkeypatch.setattr(TableReplica, "_is_news", lambda table, row: True)
+        old = StaleReads(3.0, 3.3, 1.5)
         assert "back" in self.kinds(Plan("a", (Change(2.0),), (old,), (3.0,)))
 
     def test_another_node_brings_a_removed_row_back(self, monkeypatch):
@@ -168,11 +168,11 @@
             news = tuple(row for row in rows if table._is_news(row))
             table._on_rows(news, node)
 
-        monkeypatch.setattr(FollowedTable, "take_from_peer", take_all)
+        monkeypatch.setattr(TableReplica, "apply_peer_rows", take_all)
         assert "row back" in self.kinds(REMOVAL_FORGOTTEN)
 
     def test_tries_without_a_pause_are_needless_calls(self, monkeypatch):
-        monkeypatch.setattr(FollowPace, "pause_s", lambda pace: 0.02)
+        monkeypatch.setattr(StoreBackoff, "next_delay_s", lambda pace: 0.02)
         assert "calls" in self.kinds(REFUSED)
 
 
@@ -204,7 +204,7 @@
         frozen = Freeze(2.91, 3.39, "n1")
         changes = (Change(0.0, "i1"), Change(4.01, "i1", True))
         plan = Plan("aa", changes, (turned_away, frozen))
-        assert broken_with_any_seed(plan, late_through_relays) == []
+        assert broken_with_any_seed(plan, late_through_first_relay) == []
 
 
 class TestSilentRelayBesideOneThatIsWell:
--- a/tests/support/entry.py
+++ b/tests/support/entry.py
@@ -207,7 +207,7 @@
         callers, readiness, internal, gossip = free_addresses(4)
         first = self.nodes[0].settings if self.nodes else None
         seeds = (first.internal if first else internal,)
-        seed_gossip = first.gossip if first else gossip
+        seed_gossip_addresses = first.gossip if first else gossip
         node = EntryNode(
             HostSettings(
                 node=NodeId(f"node-{len(self.nodes)}"),
@@ -217,7 +217,7 @@
                 internal=internal,
                 gossip=gossip,
                 seeds=seeds,
-                seed_gossip_port=int(seed_gossip.rpartition(":")[2]),
+                seed_gossip_port=int(seed_gossip_addresses.rpartition(":")[2]),
                 store=StoreSettings(self.store_address),
                 memory_bytes=300_000_000,
                 max_descriptors=4100,
--- a/tests/support/path_store.py
+++ b/tests/support/path_store.py
@@ -4,8 +4,8 @@
 
 from eelgrass_node.process.store_tables import StoredRow, TableChanges
 
-from .store_day import Outage, Store
-from .version_plan import Plan, Slow, Stale
+from .store_simulation import Outage, Store
+from .version_plan import Plan, SlowStore, StaleReads
 
 __all__ = ["PathStore"]
 
@@ -17,9 +17,9 @@
     """The store with late answers and old states; notes who called when."""
 
     def __init__(self, plan: Plan) -> None:
-        super().__init__(h for h in plan.harms if isinstance(h, Outage))
-        self._slow = [h for h in plan.harms if isinstance(h, Slow)]
-        self._stale = [h for h in plan.harms if isinstance(h, Stale)]
+        super().__init__(h for h in plan.faults if isinstance(h, Outage))
+        self._slow = [h for h in plan.faults if isinstance(h, SlowStore)]
+        self._stale = [h for h in plan.faults if isinstance(h, StaleReads)]
         self._written: list[tuple[float, int, str, str, bytes | None]] = []
         self.called_at: list[tuple[str, float]] = []
 
--- a/tests/support/servers_seen.py
+++ b/tests/support/recording_server_list.py
@@ -4,17 +4,17 @@
 
 from eelgrass_node.process.store_tables import StoredRow
 
-__all__ = ["ServersSeen"]
+__all__ = ["RecordingServerList"]
 
 
-class ServersSeen:
+class RecordingServerList:
     """Tells each row that is taken with its version, one that is gone with None."""
 
     def __init__(self, note: Callable[[str, int | None], None]) -> None:
         self._note = note
         self._listed: set[str] = set()
 
-    def take_rows(self, rows: tuple[StoredRow, ...]) -> None:
+    def apply_rows(self, rows: tuple[StoredRow, ...]) -> None:
         """Take in rows that changed."""
         for row in rows:
             if row.value is not None:
@@ -23,7 +23,7 @@
             else:
                 self._remove(row.key)
 
-    def take_whole(self, keys: set[str]) -> None:
+    def apply_snapshot(self, keys: set[str]) -> None:
         """Take in which rows there are."""
         for key in self._listed - keys:
             self._remove(key)
--- a/tests/support/store_rows.py
+++ b/tests/support/store_rows.py
@@ -5,16 +5,22 @@
 
 from eelgrass_node.exceptions import StoreUnavailable
 from eelgrass_node.process.store_tables import (
-    FollowedTable,
     StoredRow,
     TableChanges,
     TableReader,
+    TableReplica,
 )
 
-__all__ = ["PROMISED_S", "LostStore", "changes", "followed_table", "row"]
+__all__ = [
+    "PROPAGATION_DEADLINE_S",
+    "UnreachableStore",
+    "changes",
+    "table_replica",
+    "row",
+]
 
 # For configurations and for servers that leave, on the users' sheets.
-PROMISED_S = 2.0
+PROPAGATION_DEADLINE_S = 2.0
 # Short, so that a test need not wait for a call that brings no changes.
 WAIT_S = 0.01
 
@@ -29,7 +35,7 @@
     return TableChanges(tuple(rows), version)
 
 
-class LostStore:
+class UnreachableStore:
     """A store that never answers, for the reason that is given."""
 
     def __init__(self, reason: str) -> None:
@@ -47,16 +53,16 @@
         """Return that no answer comes."""
 
 
-def followed_table(
+def table_replica(
     reader: TableReader, table: str, **told: Callable[..., Any]
-) -> FollowedTable:
+) -> TableReplica:
     """Return a table that tells of nothing but what ``told`` takes."""
-    return FollowedTable(
+    return TableReplica(
         reader,
         table,
         told.get("on_rows", lambda rows, source: None),
         told.get("on_whole", lambda keys: None),
         told.get("on_return", lambda: None),
         WAIT_S,
-        PROMISED_S,
+        PROPAGATION_DEADLINE_S,
     )
--- a/tests/support/store_day.py
+++ b/tests/support/store_simulation.py
@@ -14,8 +14,11 @@
     StoreUnavailable,
 )
 from eelgrass_node.process.deployments import DeploymentInForce
-from eelgrass_node.process.follow_pace import READ_S, TRY_S
 from eelgrass_node.process.platform_tables import PlatformTables, TableNames
+from eelgrass_node.process.store_backoff import (
+    FULL_READ_RESPONSE_TIMEOUT_S,
+    RESPONSE_TIMEOUT_S,
+)
 from eelgrass_node.process.store_tables import StoredRow, TableChanges
 from eelgrass_node.process.table_relay import relay_of
 from eelgrass_node.version.deployment import CallerLimits, Deployment
@@ -23,10 +26,10 @@
 from .crashes import idle_crash_table
 from .evacuated import idle_evacuations
 from .members import member
-from .servers_seen import ServersSeen
-from .store_rows import PROMISED_S
+from .recording_server_list import RecordingServerList
+from .store_rows import PROPAGATION_DEADLINE_S
 
-__all__ = ["Outage", "StoreDay"]
+__all__ = ["Outage", "StoreSimulation"]
 
 OPERATOR = "op"
 SERVERS = "servers"
@@ -82,7 +85,7 @@
 
     async def read(self, node: str, table: str) -> TableChanges:
         """Answer a whole read."""
-        await self._answer(node, table, _now(), READ_S)
+        await self._answer(node, table, _now(), FULL_READ_RESPONSE_TIMEOUT_S)
         return self._rows(table, -1)
 
     async def feed(
@@ -98,7 +101,7 @@
                     await changed.wait()
             except TimeoutError:
                 break
-        await self._answer(node, table, begun, wait_s + TRY_S)
+        await self._answer(node, table, begun, wait_s + RESPONSE_TIMEOUT_S)
         if after < self._oldest:
             raise HistoryGone(table)
         return self._rows(table, after)
@@ -143,7 +146,7 @@
         """Return that no answer takes long to come: none is large here."""
 
 
-class StoreDay:
+class StoreSimulation:
     """Runs the nodes of a data centre, and notes when each had which change.
 
     Nothing but their relay and the store brings them changes: what other data
@@ -155,7 +158,7 @@
         self,
         outages: Iterable[Outage] = (),
         nodes: int = 3,
-        promised_s: float = PROMISED_S,
+        promised_s: float = PROPAGATION_DEADLINE_S,
         agreed_at: float = 0.0,
     ) -> None:
         self.store = Store(outages)
@@ -222,7 +225,7 @@
             lambda: own,
             lambda: self._others(own),
             deployments=deployments,
-            server_list=ServersSeen(
+            server_list=RecordingServerList(
                 lambda server, version: self._note_server(own.id, server, version)
             ),
             crashes=idle_crash_table(),
--- a/tests/support/version_promises.py
+++ b/tests/support/version_guarantees.py
@@ -18,12 +18,21 @@
 
 from eelgrass_node.process.table_relay import relay_of, relays_of
 
-from .store_day import SERVERS, Outage
-from .store_rows import PROMISED_S
-from .version_day import NodeLife, VersionDay
-from .version_plan import Change, Cut, Deaf, Freeze, Harm, Plan, Restart, Stale
-
-__all__ = ["broken_promises", "late_through_any_relay", "late_through_relays"]
+from .store_rows import PROPAGATION_DEADLINE_S
+from .store_simulation import SERVERS, Outage
+from .version_plan import (
+    Change,
+    Fault,
+    Freeze,
+    GossipLoss,
+    Partition,
+    Plan,
+    Restart,
+    StaleReads,
+)
+from .version_simulation import NodeProcess, VersionSimulation
+
+__all__ = ["guarantee_violations", "late_through_any_relay", "late_through_first_relay"]
 
 # A node follows two tables, each with a call a second, or one in 0.9 s.
 QUIET_CALLS = 3
@@ -37,7 +46,7 @@
 SETTLED_S = 3.0
 
 
-def broken_promises(day: VersionDay) -> list[str]:
+def guarantee_violations(day: VersionSimulation) -> list[str]:
     """Return all that a day has broken."""
     return [
         *versions_back(day),
@@ -47,18 +56,18 @@
     ]
 
 
-def versions_back(day: VersionDay) -> Iterable[str]:
+def versions_back(day: VersionSimulation) -> Iterable[str]:
     """A version in force never goes back within one life."""
-    for life in day.lives:
+    for life in day.processes:
         numbers = [number for _, number in life.versions]
         for earlier, later in zip(numbers, numbers[1:], strict=False):
             if later < earlier:
                 yield f"back: {life.own.id} has {later} after {earlier}"
 
 
-def rows_back(day: VersionDay) -> Iterable[str]:
+def rows_back(day: VersionSimulation) -> Iterable[str]:
     """A removed row never comes back within one life, but by a later listing."""
-    for life in day.lives:
+    for life in day.processes:
         removal_by_server: dict[str, int] = {}
         listed_by_server: dict[str, int] = {}
         for at, server, version in life.servers:
@@ -71,7 +80,7 @@
                 listed_by_server[server] = version
 
 
-def _removal_after(day: VersionDay, server: str, listed: int) -> int:
+def _removal_after(day: VersionSimulation, server: str, listed: int) -> int:
     return min(
         (
             version
@@ -82,7 +91,7 @@
     )
 
 
-def late_changes(day: VersionDay) -> Iterable[str]:
+def late_changes(day: VersionSimulation) -> Iterable[str]:
     """Every confirmed change is in force within the promised time."""
     for change, number in day.confirmed:
         for own in day.members:
@@ -96,7 +105,7 @@
                 )
 
 
-def late_through_relays(day: VersionDay) -> Iterable[str]:
+def late_through_first_relay(day: VersionSimulation) -> Iterable[str]:
     """A change of servers that a node's relay has is in force at the node, too.
 
     The relay is the first of its data centre, and the store has answered it well all
@@ -111,7 +120,7 @@
                 yield from _late_through(day, change, number, own.id, relay.id)
 
 
-def late_through_any_relay(day: VersionDay) -> Iterable[str]:
+def late_through_any_relay(day: VersionSimulation) -> Iterable[str]:
     """The same of each relay that a node asks in turn.
 
     Where two of them are silent at a time their waits add up, which is not judged here:
@@ -126,7 +135,7 @@
 
 
 def _late_through(
-    day: VersionDay, change: Change, number: int, node: str, relay: str
+    day: VersionSimulation, change: Change, number: int, node: str, relay: str
 ) -> Iterable[str]:
     due = _due_by_relay(day, change, number, node, relay)
     if due is None:
@@ -140,12 +149,12 @@
 
 
 def _due_by_relay(
-    day: VersionDay, change: Change, number: int, node: str, relay: str
+    day: VersionSimulation, change: Change, number: int, node: str, relay: str
 ) -> float | None:
     """Return when a change is due that the relay has; None where it has no path."""
     taken = (
         at
-        for life in day.lives
+        for life in day.processes
         if life.own.id == relay
         for at, server, version in life.servers
         if at >= change.at and server == change.server
@@ -154,24 +163,24 @@
     if (at := next(taken, None)) is None:
         return None
     due = _held_up(day.plan, at, lambda harm: _parts(harm, node, relay))
-    for harm in day.plan.harms:
+    for harm in day.plan.faults:
         harms_relay = _hits_way_to_store(harm, relay) and not isinstance(harm, Freeze)
         if harms_relay and harm.begin < due and harm.end > at - SETTLED_S:
             return None
     return due
 
 
-def _parts(harm: Harm, node: str, relay: str) -> bool:
+def _parts(harm: Fault, node: str, relay: str) -> bool:
     if isinstance(harm, Freeze | Restart):
         return harm.node in (node, relay)
-    return isinstance(harm, Cut) and harm.nodes == {node, relay}
+    return isinstance(harm, Partition) and harm.nodes == {node, relay}
 
 
-def _life_at(day: VersionDay, node: str, at: float) -> NodeLife | None:
+def _life_at(day: VersionSimulation, node: str, at: float) -> NodeProcess | None:
     return next(
         (
             life
-            for life in day.lives
+            for life in day.processes
             if life.own.id == node and life.began <= at < life.ended
         ),
         None,
@@ -179,7 +188,7 @@
 
 
 def _has(
-    day: VersionDay, life: NodeLife, change: Change, number: int, at: float
+    day: VersionSimulation, life: NodeProcess, change: Change, number: int, at: float
 ) -> bool:
     """Return whether a change, or a later one in its place, was taken by then."""
     if change.server is None:
@@ -199,11 +208,11 @@
     )
 
 
-def _due(day: VersionDay, change: Change, number: int, node: str) -> float:
+def _due(day: VersionSimulation, change: Change, number: int, node: str) -> float:
     plan = day.plan
     dues = [_due_by_store(plan, change.at, node)]
     if change.server is None:
-        for life in day.lives:
+        for life in day.processes:
             taken = (at for at, n in life.versions if n >= number)
             if life.own.id != node and (at := next(taken, None)) is not None:
                 dues += _due_by_other(plan, max(at, change.at), node, life.own.id)
@@ -220,37 +229,41 @@
         plan, at, lambda harm: isinstance(harm, Freeze) and harm.node == node
     )
     silent: set[str] = set()
-    for harm in plan.harms:
+    for harm in plan.faults:
         # A node that was silent shortly before may still be waited for.
-        if harm.begin >= due or harm.end <= at - PROMISED_S:
+        if harm.begin >= due or harm.end <= at - PROPAGATION_DEADLINE_S:
             continue
-        if isinstance(harm, Deaf) or isinstance(harm, Restart) and harm.node == node:
+        if (
+            isinstance(harm, GossipLoss)
+            or isinstance(harm, Restart)
+            and harm.node == node
+        ):
             return []
         if isinstance(harm, Freeze | Restart) and harm.node != node:
             silent.add(harm.node)
-        if isinstance(harm, Cut) and node in harm.nodes:
+        if isinstance(harm, Partition) and node in harm.nodes:
             silent |= harm.nodes - {node}
     return [] if other in silent or len(silent) > 1 else [due]
 
 
-def _hits_way_to_store(harm: Harm, node: str) -> bool:
+def _hits_way_to_store(harm: Fault, node: str) -> bool:
     if isinstance(harm, Outage):
         return harm.nodes is None or node in harm.nodes
     if isinstance(harm, Freeze | Restart):
         return harm.node == node
     # A relay that was shown an old state cannot know it, nor can those who ask it.
-    return isinstance(harm, Stale)
+    return isinstance(harm, StaleReads)
 
 
-def _held_up(plan: Plan, at: float, hits: Callable[[Harm], bool]) -> float:
+def _held_up(plan: Plan, at: float, hits: Callable[[Fault], bool]) -> float:
     last = at
-    for harm in sorted(plan.harms, key=lambda harm: harm.begin):
-        if hits(harm) and harm.begin < last + PROMISED_S and harm.end >= at:
+    for harm in sorted(plan.faults, key=lambda harm: harm.begin):
+        if hits(harm) and harm.begin < last + PROPAGATION_DEADLINE_S and harm.end >= at:
             last = max(last, harm.end)
-    return last + PROMISED_S
+    return last + PROPAGATION_DEADLINE_S
 
 
-def needless_calls(day: VersionDay) -> Iterable[str]:
+def needless_calls(day: VersionSimulation) -> Iterable[str]:
     """Calls to the store stay bounded while nothing changes."""
     calls = Counter((node, int(at)) for node, at in day.store.called_at)
     busy = {
--- a/tests/support/version_plan.py
+++ b/tests/support/version_plan.py
@@ -2,18 +2,18 @@
 
 import msgspec
 
-from .store_day import Outage
+from .store_simulation import Outage
 
 __all__ = [
     "Change",
-    "Cut",
-    "Deaf",
+    "Partition",
+    "GossipLoss",
     "Freeze",
-    "Harm",
+    "Fault",
     "Plan",
     "Restart",
-    "Slow",
-    "Stale",
+    "SlowStore",
+    "StaleReads",
 ]
 
 
@@ -37,7 +37,7 @@
     silent: bool = False
 
 
-class Cut(msgspec.Struct, frozen=True):
+class Partition(msgspec.Struct, frozen=True):
     """Nothing gets through between two nodes."""
 
     begin: float
@@ -45,14 +45,14 @@
     nodes: frozenset[str]
 
 
-class Deaf(msgspec.Struct, frozen=True):
+class GossipLoss(msgspec.Struct, frozen=True):
     """All news of versions is lost; calls are not."""
 
     begin: float
     end: float
 
 
-class Stale(msgspec.Struct, frozen=True):
+class StaleReads(msgspec.Struct, frozen=True):
     """The store shows the state of ``lag_s`` before ``begin``, again and again."""
 
     begin: float
@@ -60,7 +60,7 @@
     lag_s: float
 
 
-class Slow(msgspec.Struct, frozen=True):
+class SlowStore(msgspec.Struct, frozen=True):
     """Answers of the store come ``by_s`` late, as of when they were asked for."""
 
     begin: float
@@ -76,7 +76,7 @@
     gone: bool = False
 
 
-Harm = Outage | Freeze | Restart | Cut | Deaf | Stale | Slow
+Fault = Outage | Freeze | Restart | Partition | GossipLoss | StaleReads | SlowStore
 
 
 class Plan(msgspec.Struct, frozen=True):
@@ -84,7 +84,7 @@
 
     data_centres: str
     changes: tuple[Change, ...] = ()
-    harms: tuple[Harm, ...] = ()
+    faults: tuple[Fault, ...] = ()
     forgets: tuple[float, ...] = ()
     seed: int = 0
 
@@ -92,4 +92,4 @@
     def ends(self) -> float:
         """When the last thing has happened."""
         times = [change.at for change in self.changes]
-        return max([*times, *(harm.end for harm in self.harms), *self.forgets, 0.0])
+        return max([*times, *(harm.end for harm in self.faults), *self.forgets, 0.0])
--- a/tests/support/version_plans.py
+++ b/tests/support/version_plans.py
@@ -2,17 +2,17 @@
 
 from hypothesis import strategies as st
 
-from .store_day import Outage, StoreDay
+from .store_simulation import Outage, StoreSimulation
 from .version_plan import (
     Change,
-    Cut,
-    Deaf,
+    Fault,
     Freeze,
-    Harm,
+    GossipLoss,
+    Partition,
     Plan,
     Restart,
-    Slow,
-    Stale,
+    SlowStore,
+    StaleReads,
 )
 
 __all__ = ["plans"]
@@ -34,7 +34,18 @@
 STEPS_PER_S = 100
 
 SERVERS = ("i1", "i2")
-KINDS = (Outage, Outage, Outage, Freeze, Freeze, Restart, Cut, Deaf, Stale, Slow)
+KINDS = (
+    Outage,
+    Outage,
+    Outage,
+    Freeze,
+    Freeze,
+    Restart,
+    Partition,
+    GossipLoss,
+    StaleReads,
+    SlowStore,
+)
 
 
 def seconds(first: float, last: float) -> st.SearchStrategy[float]:
@@ -62,25 +73,25 @@
         lambda change, off: round(change.at + off, 2), st.sampled_from(changes), offset
     )
     times = seconds(FIRST_S, LAST_S) | near
-    harms = draw(st.lists(_harms(nodes, times), min_size=1, max_size=MOST_HARMS))
+    faults = draw(st.lists(_harms(nodes, times), min_size=1, max_size=MOST_HARMS))
     forgets = draw(st.lists(times, max_size=MOST_FORGETS))
     listed = [Change(0.0, server) for server in SERVERS]
     return Plan(
         data_centres,
         (*listed, *changes),
-        tuple(harms),
+        tuple(faults),
         tuple(forgets),
         draw(st.integers(0, 999)),
     )
 
 
 @st.composite
-def _harms(draw: st.DrawFn, nodes: list[str], times: st.SearchStrategy[float]) -> Harm:
+def _harms(draw: st.DrawFn, nodes: list[str], times: st.SearchStrategy[float]) -> Fault:
     kind = draw(st.sampled_from(KINDS))
     begin = draw(times)
     end = round(begin + draw(seconds(0.05, LONGEST_HARM_S)), 2)
     # The first of its data centre in the order of the relays is hit oftener.
-    relay = StoreDay.relay(len(nodes))
+    relay = StoreSimulation.relay(len(nodes))
     node = st.sampled_from(nodes) | st.just(relay)
     match kind:
         case _ if kind is Outage:
@@ -88,15 +99,15 @@
             rest = st.just(frozenset(nodes) - {relay} or frozenset(nodes))
             nodes_hit = draw(st.none() | some | rest)
             return Outage(begin, end, nodes_hit, draw(st.booleans()))
-        case _ if kind is Cut and len(nodes) > 1:
+        case _ if kind is Partition and len(nodes) > 1:
             pair = st.frozensets(st.sampled_from(nodes), min_size=2, max_size=2)
-            return Cut(begin, end, draw(pair))
+            return Partition(begin, end, draw(pair))
         case _ if kind is Restart:
             return Restart(begin, end, draw(node), draw(st.booleans()))
         case _ if kind is Freeze:
             return Freeze(begin, end, draw(node))
-        case _ if kind is Stale:
-            return Stale(begin, end, draw(seconds(0.0, LONGEST_HARM_S)))
-        case _ if kind is Slow:
-            return Slow(begin, end, draw(seconds(0.01, SLOWEST_S)))
-    return Deaf(begin, end)
+        case _ if kind is StaleReads:
+            return StaleReads(begin, end, draw(seconds(0.0, LONGEST_HARM_S)))
+        case _ if kind is SlowStore:
+            return SlowStore(begin, end, draw(seconds(0.01, SLOWEST_S)))
+    return GossipLoss(begin, end)
--- a/tests/support/version_day.py
+++ b/tests/support/version_simulation.py
@@ -24,12 +24,12 @@
 from .evacuated import idle_evacuations
 from .members import member
 from .path_store import PathStore
-from .servers_seen import ServersSeen
-from .store_day import HOP_S, OPERATOR, SERVERS
-from .store_rows import PROMISED_S
-from .version_plan import Change, Cut, Deaf, Freeze, Plan, Restart
+from .recording_server_list import RecordingServerList
+from .store_rows import PROPAGATION_DEADLINE_S
+from .store_simulation import HOP_S, OPERATOR, SERVERS
+from .version_plan import Change, Freeze, GossipLoss, Partition, Plan, Restart
 
-__all__ = ["NodeLife", "VersionDay"]
+__all__ = ["NodeProcess", "VersionSimulation"]
 
 # How long another node's state is waited for, as the program sets it.
 STATE_S = 1.0
@@ -49,14 +49,14 @@
 T = TypeVar("T")
 
 
-class NodeLife:
+class NodeProcess:
     """One life of the process of a node, and what it has seen.
 
     ``versions`` has when each configuration came into force, and ``servers`` when a
     server was listed by the row of a version, or removed (None).
     """
 
-    def __init__(self, day: "VersionDay", own: Member) -> None:
+    def __init__(self, day: "VersionSimulation", own: Member) -> None:
         self.day = day
         self.own = own
         self.began = _now()
@@ -72,7 +72,7 @@
         self.catch_up = PeerCatchUp(
             self._take_state_of,
             lambda: self.deployments.number,
-            lambda: self.tables.known,
+            lambda: self.tables.is_ready,
             lambda: [other.internal for other in self._others()],
         )
         works = (
@@ -91,12 +91,12 @@
             lambda: self.own,
             self._others,
             deployments=self.deployments,
-            server_list=ServersSeen(self._note_server),
+            server_list=RecordingServerList(self._note_server),
             crashes=idle_crash_table(),
             evacuations=idle_evacuations(),
-            apply_s=PROMISED_S,
-            drain_s=PROMISED_S,
-            evacuate_s=PROMISED_S,
+            apply_s=PROPAGATION_DEADLINE_S,
+            drain_s=PROPAGATION_DEADLINE_S,
+            evacuate_s=PROPAGATION_DEADLINE_S,
             clock=_now,
         )
 
@@ -143,10 +143,10 @@
 
     async def _take_state_of(self, address: str) -> None:
         operator, servers = await self._awake(
-            lambda: self.day.call(self.own.id, address, STATE_S, NodeLife.state)
+            lambda: self.day.call(self.own.id, address, STATE_S, NodeProcess.state)
         )
-        self.tables.operator.take_from_peer(operator, address)
-        self.tables.servers.take_from_peer(servers, address)
+        self.tables.operator.apply_peer_rows(operator, address)
+        self.tables.servers.apply_peer_rows(servers, address)
 
     async def state(self) -> tuple[tuple[StoredRow, ...], tuple[StoredRow, ...]]:
         """Return what this node knows, for another one."""
@@ -178,12 +178,12 @@
             if others := self._others():
                 other = others[turn % len(others)].id
                 self.day.tell(self, other)
-                if other in self.day.life_by_node:
-                    self.day.tell(self.day.life_by_node[other], self.own.id)
+                if other in self.day.process_by_node:
+                    self.day.tell(self.day.process_by_node[other], self.own.id)
             await asyncio.sleep(PROBE_S)
 
 
-class VersionDay:
+class VersionSimulation:
     """Plays a plan; ``lives`` has all lives of all nodes, and ``confirmed`` changes."""
 
     def __init__(self, plan: Plan) -> None:
@@ -194,14 +194,14 @@
             member(f"n{number}", data_centre)
             for number, data_centre in enumerate(plan.data_centres)
         ]
-        self.lives: list[NodeLife] = []
-        self.life_by_node: dict[str, NodeLife] = {}
+        self.processes: list[NodeProcess] = []
+        self.process_by_node: dict[str, NodeProcess] = {}
         # Each change with its number (a configuration) or its row's version.
         self.confirmed: list[tuple[Change, int]] = []
         self._numbers = itertools.count(1)
         self._news_under_way: set[asyncio.Task] = set()
 
-    async def run(self) -> "VersionDay":
+    async def run(self) -> "VersionSimulation":
         """Play the day to its end."""
         random.seed(self.plan.seed)
         self._make(Change(0.0))
@@ -213,7 +213,7 @@
             *(self._restart(h) for h in self._harms(Restart)),
         ]
         await asyncio.gather(*works, asyncio.sleep(self.plan.ends + QUIET_S))
-        for life in list(self.life_by_node.values()):
+        for life in list(self.process_by_node.values()):
             await life.end()
         return self
 
@@ -229,7 +229,7 @@
         own: str,
         address: str,
         within_s: float,
-        answer: Callable[[NodeLife], Awaitable[T]],
+        answer: Callable[[NodeProcess], Awaitable[T]],
     ) -> T:
         """Call another node; raises :class:`PeerUnreachable` without an answer."""
         node = address.partition(":")[0]
@@ -248,9 +248,9 @@
             raise error
         return result
 
-    async def _reached(self, node: str) -> NodeLife:
+    async def _reached(self, node: str) -> NodeProcess:
         await self.thawed(node)
-        if (life := self.life_by_node.get(node)) is not None:
+        if (life := self.process_by_node.get(node)) is not None:
             return life
         for harm in self._harms(Restart):
             if harm.node == node and harm.silent and harm.begin <= _now() < harm.end:
@@ -265,12 +265,12 @@
     def _is_cut(self, own: str, node: str) -> bool:
         return any(
             harm.begin <= _now() < harm.end and harm.nodes == {own, node}
-            for harm in self._harms(Cut)
+            for harm in self._harms(Partition)
         )
 
-    def tell(self, life: NodeLife, node: str) -> None:
+    def tell(self, life: NodeProcess, node: str) -> None:
         """Send news of the version in force at a node to another, two times."""
-        deaf = any(h.begin <= _now() < h.end for h in self._harms(Deaf))
+        deaf = any(h.begin <= _now() < h.end for h in self._harms(GossipLoss))
         number = life.deployments.number
         if deaf or number < 0 or self._is_cut(life.own.id, node):
             return
@@ -282,8 +282,8 @@
     async def _news(self, of: Member, number: int, node: str, late_s: float) -> None:
         await asyncio.sleep(late_s)
         await self.thawed(node)
-        if (life := self.life_by_node.get(node)) is not None:
-            life.catch_up.heard(number, of, 0.0)
+        if (life := self.process_by_node.get(node)) is not None:
+            life.catch_up.on_number_announced(number, of, 0.0)
 
     def _keep(self, task: asyncio.Task) -> None:
         self._news_under_way.add(task)
@@ -299,15 +299,15 @@
         return [found for found in self.members if found.id not in dead]
 
     def _harms(self, kind: type[T]) -> list[T]:
-        return [harm for harm in self.plan.harms if isinstance(harm, kind)]
+        return [harm for harm in self.plan.faults if isinstance(harm, kind)]
 
     def _begin(self, own: Member) -> None:
-        self.life_by_node[own.id] = life = NodeLife(self, own)
-        self.lives.append(life)
+        self.process_by_node[own.id] = life = NodeProcess(self, own)
+        self.processes.append(life)
 
     async def _restart(self, harm: Restart) -> None:
         await asyncio.sleep(harm.begin - _now())
-        life = self.life_by_node.pop(harm.node, None)
+        life = self.process_by_node.pop(harm.node, None)
         if life is None:
             return
         await life.end()
--- a/tests/test_configuration_in_force.py
+++ b/tests/test_configuration_in_force.py
@@ -95,7 +95,7 @@
         sync = deployment.nodes[1].configuration
         newest = sync.follower.revision
         member = deployment.nodes[2].membership.own
-        sync.heard(1, member, 0.0)
+        sync.on_revision_announced(1, member, 0.0)
         sync.advance(list(sync.follower.recent_changes)[:1])
         assert sync.follower.revision == newest
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -32,7 +32,7 @@
     "connection/replies.py",
     "process/backends.py",
     "process/changes.py",
-    "process/claimed.py",
+    "process/claimed_requests.py",
     "process/configuration.py",
     "process/costs.py",
     "process/dispatch.py",
--- a/tests/test_platform_news.py
+++ b/tests/test_platform_news.py
@@ -10,7 +10,7 @@
     route,
     until,
 )
-from support.store_rows import LostStore
+from support.store_rows import UnreachableStore
 
 
 class TestConfiguration:
@@ -109,16 +109,16 @@
         """Callers go to another node meanwhile."""
         late = entry.new_node()
         known = entry.nodes[0].tables
-        late.tables.operator.take_from_peer(known.operator.rows(), "n0:1")
+        late.tables.operator.apply_peer_rows(known.operator.rows(), "n0:1")
         assert late.deployments.number == 1
         assert not late.ready
-        late.tables.servers.take_from_peer(known.servers.rows(), "n0:1")
+        late.tables.servers.apply_peer_rows(known.servers.rows(), "n0:1")
         assert late.ready
 
     async def test_a_node_without_the_store_gets_a_newer_version(self, entry):
         first = entry.nodes[0]
         # This node alone does not reach it.
-        first.tables.operator._reader = LostStore("out of reach")
+        first.tables.operator._reader = UnreachableStore("out of reach")
         entry.store.put("op", "config", configuration(6))
         await until(lambda: first.deployments.number == 6, 4.0)
 
