--- a/benchmarks/piece_queue.py
+++ b/benchmarks/piece_queue.py
@@ -18,7 +18,7 @@
 from eelgrass_node.process.batch_items import BatchItem, ItemOutcome
 from eelgrass_node.process.local_queues import LocalQueues
 from eelgrass_node.process.poison_requests import PoisonRequests
-from eelgrass_node.process.reach import DataCentreReach
+from eelgrass_node.process.reachability import DataCentreReachability
 from eelgrass_node.process.retry_budget import RetryBudgets
 from eelgrass_node.version.deployment import (
     BatchLimits,
@@ -115,7 +115,7 @@
         backends,
         lambda: deployment,
         retries,
-        DataCentreReach(DataCentre("a"), loop.time),
+        DataCentreReachability(DataCentre("a"), loop.time),
         run_call,
         free_call,
         lambda handle: handle.partition("/")[0],
--- a/packages/ctl/src/eelgrass_ctl/crash_rows.py
+++ b/packages/ctl/src/eelgrass_ctl/crash_rows.py
@@ -9,8 +9,8 @@
 from eelgrass_node.exceptions import StoreUnavailable
 from eelgrass_node.platform.names import CRASHES_TABLE
 from eelgrass_node.platform.store import RowStore
-from eelgrass_node.process.crash_table import End, decode_end
-from eelgrass_node.process.quarantine import MAX_ENDED
+from eelgrass_node.process.crash_table import Crash, decode_crash
+from eelgrass_node.process.quarantine import MAX_CRASHES
 from eelgrass_node.process.store_tables import StoredRow
 
 from .exceptions import StoreUnreadable
@@ -31,14 +31,14 @@
     @property
     def is_held(self) -> bool:
         """Whether nodes send the request to no server, unless others explain it."""
-        return len(self.servers) >= MAX_ENDED
+        return len(self.servers) >= MAX_CRASHES
 
 
 async def read_ends(address: str) -> list[RequestEnds]:
     """Read the store, requests with most ends first; raises StoreUnreadable."""
     async with _opened(address) as store:
         changes = await store.read_table(CRASHES_TABLE)
-    ends_by_request: dict[str, list[End]] = {}
+    ends_by_request: dict[str, list[Crash]] = {}
     for _, end in _readable(changes.rows):
         ends_by_request.setdefault(end.request, []).append(end)
     found = [_summed_up(request, ends) for request, ends in ends_by_request.items()]
@@ -66,13 +66,13 @@
         await store.close()
 
 
-def _readable(rows: Iterable[StoredRow]) -> Iterator[tuple[str, End]]:
+def _readable(rows: Iterable[StoredRow]) -> Iterator[tuple[str, Crash]]:
     """Return key and end of each row; nodes log those that cannot be read."""
     for row in rows:
         with suppress(msgspec.MsgspecError):
-            yield row.key, decode_end(row.value or b"")
+            yield row.key, decode_crash(row.value or b"")
 
 
-def _summed_up(request: str, ends: list[End]) -> RequestEnds:
+def _summed_up(request: str, ends: list[Crash]) -> RequestEnds:
     ends.sort(key=lambda end: end.at_ms)
     return RequestEnds(request, tuple(e.server.id for e in ends), ends[-1].at_ms)
--- a/packages/ctl/tests/test_crashes.py
+++ b/packages/ctl/tests/test_crashes.py
@@ -8,8 +8,8 @@
 from eelgrass_coordination.ids import BackendId
 from eelgrass_ctl.crash_rows import RequestEnds, clear_request, read_ends
 from eelgrass_ctl.exceptions import ExitCode, StoreUnreadable
-from eelgrass_node.process.backends import ServerLife
-from eelgrass_node.process.ended_servers import Fingerprint
+from eelgrass_node.process.backends import ServerIncarnation
+from eelgrass_node.process.crash_detector import Fingerprint
 from eelgrass_standins.ports import free_addresses
 from support.entry import EntryDeployment, until
 
@@ -19,8 +19,8 @@
 
 def end_under(node, request, *servers):
     for server in servers:
-        life = ServerLife(BackendId(server))
-        node.poison._note_ended(life, [request])
+        life = ServerIncarnation(BackendId(server))
+        node.poison._on_crash(life, [request])
 
 
 @pytest.fixture
@@ -43,12 +43,12 @@
         ]
 
     async def test_a_request_that_is_cleared_is_let_in_at_all_nodes(self, entry):
-        assert all(node.poison.quarantine.holds(HELD) for node in entry.nodes)
+        assert all(node.poison.quarantine.is_quarantined(HELD) for node in entry.nodes)
         assert await clear_request(entry.store_address, HELD) == 3
         await until(
-            lambda: not any(n.poison.quarantine.suspects(HELD) for n in entry.nodes)
+            lambda: not any(n.poison.quarantine.is_suspect(HELD) for n in entry.nodes)
         )
-        assert all(node.poison.quarantine.suspects(SUSPECT) for node in entry.nodes)
+        assert all(node.poison.quarantine.is_suspect(SUSPECT) for node in entry.nodes)
         assert await clear_request(entry.store_address, HELD) == 0
 
     async def test_a_store_that_is_gone_is_said_with_a_remedy(self):
--- a/packages/ctl/tests/test_hosts.py
+++ b/packages/ctl/tests/test_hosts.py
@@ -54,7 +54,7 @@
     async def test_a_data_centre_that_is_emptied(self, entry):
         entry.store.put("op", "evacuate/b", {})
         node = entry.nodes[0]
-        await until(lambda: node.places.evacuations.covers("b"))
+        await until(lambda: node.evacuation.evacuations.is_evacuated("b"))
         [found] = await read_hosts([await serve_metrics(node)])
         [emptied] = found.evacuated
         assert (emptied.data_centre, emptied.in_flight) == ("b", 0)
--- a/packages/node/src/eelgrass_node/connection/batch_handoff.py
+++ b/packages/node/src/eelgrass_node/connection/batch_handoff.py
@@ -15,9 +15,9 @@
 from eelgrass_coordination import StallAwareTimeout
 
 from ..exceptions import PeerUnreachable
-from ..process.backends import ServerLife
+from ..process.backends import ServerIncarnation
 from ..process.batch_items import BatchItem, ItemOutcome
-from ..process.ended_servers import Fingerprint
+from ..process.crash_detector import Fingerprint
 from ..process.queue_load import QueueLoad
 from ..version.deployment import ServiceName
 from .sockets import new_session
@@ -57,7 +57,7 @@
     key: str | None = None
     inputs: tuple[str, ...] = ()
     near: str = ""
-    makers: tuple[ServerLife, ...] = ()
+    makers: tuple[ServerIncarnation, ...] = ()
     account: str | None = None
     request: Fingerprint = Fingerprint("")
     regions: frozenset[str] | None = None
--- a/packages/node/src/eelgrass_node/connection/listening.py
+++ b/packages/node/src/eelgrass_node/connection/listening.py
@@ -5,7 +5,7 @@
 
 from eelgrass_coordination import StallAwareTimeout
 
-from ..process.ended_servers import Listening
+from ..process.crash_detector import Listening
 
 __all__ = ["listening_at"]
 
--- a/packages/node/src/eelgrass_node/connection/warm_up_calls.py
+++ b/packages/node/src/eelgrass_node/connection/warm_up_calls.py
@@ -5,7 +5,7 @@
 
 from eelgrass_coordination import Member
 
-from ..process.backends import ServerLife
+from ..process.backends import ServerIncarnation
 from ..process.warm_up import Permit, WarmUpPermits
 from .peer_calls import PeerCalls
 
@@ -17,7 +17,7 @@
 
 
 class _Ask(msgspec.Struct, frozen=True):
-    server: ServerLife
+    server: ServerIncarnation
     service: str
 
 
@@ -27,9 +27,11 @@
     def __init__(self, calls: PeerCalls) -> None:
         self._calls = calls
 
-    async def ask(self, owner: Member, life: ServerLife, service: str) -> Permit:
+    async def ask(
+        self, owner: Member, incarnation: ServerIncarnation, service: str
+    ) -> Permit:
         """Ask the owner of a server's permits; raises :class:`PeerUnreachable`."""
-        ask = _Ask(life, service)
+        ask = _Ask(incarnation, service)
         return await self._calls.ask(owner.internal, PERMIT_CALL, ask, Permit, ANSWER_S)
 
 
@@ -43,7 +45,7 @@
     async def handle_ask(self, request: web.Request) -> web.Response:
         """Answer ``POST /peer/v1/warm-up-permit``."""
         ask = self._decoder.decode(await request.read())
-        permit = self._permits.ask(ask.server, ask.service)
+        permit = self._permits.issue(ask.server, ask.service)
         body = msgspec.json.encode(permit)
         return web.Response(body=body, content_type="application/json")
 
--- a/packages/node/src/eelgrass_node/entry_gauges.py
+++ b/packages/node/src/eelgrass_node/entry_gauges.py
@@ -32,7 +32,9 @@
         "suspect_requests", "Requests under which a server ended.", len(quarantine)
     )
     yield Gauge(
-        "quarantined_requests", "Requests sent to no server.", quarantine.held()
+        "quarantined_requests",
+        "Requests sent to no server.",
+        quarantine.quarantined_count(),
     )
     yield Gauge("store_calls", "Calls made to the store.", float(node.store.calls))
     for name, table in (
@@ -53,7 +55,7 @@
             "table",
             name,
         )
-    for data_centre, since in node.places.evacuations.since_by_data_centre.items():
+    for data_centre, since in node.evacuation.evacuations.since_by_data_centre.items():
         yield Gauge(
             "evacuated_seconds",
             "Time since a data centre began to be emptied.",
@@ -64,7 +66,7 @@
         yield Gauge(
             "evacuated_in_flight",
             "Requests that still run in a data centre that is emptied.",
-            node.places.in_flight(data_centre),
+            node.evacuation.in_flight(data_centre),
             "data_centre",
             data_centre,
         )
--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -36,18 +36,18 @@
 from .process.budget_shares import count_sharing_nodes
 from .process.counters import Counters
 from .process.deployments import DeploymentInForce
-from .process.failing_servers import FailingServers
+from .process.evacuation import EvacuationManager
+from .process.failure_gossip import FailureGossip
 from .process.host_settings import HostSettings
 from .process.local_queues import LocalQueues
 from .process.metrics import Metrics
 from .process.peer_catch_up import PeerCatchUp
-from .process.places import Places
 from .process.platform_tables import PlatformTables, TableNames
 from .process.poison_requests import PoisonRequests
 from .process.queue_load import QueueLoads
 from .process.queue_owners import QueueOwners
-from .process.reach import DataCentreReach
-from .process.reach_checks import ReachChecks
+from .process.reachability import DataCentreReachability
+from .process.reachability_checks import ReachabilityChecks
 from .process.retry_budget import RetryBudgets
 from .process.server_choice import ServerChoice
 from .process.server_list import ServerList
@@ -105,7 +105,7 @@
         self.retries = RetryBudgets(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s, loop.time
         )
-        self.reach = DataCentreReach(settings.data_centre, loop.time)
+        self.reach = DataCentreReachability(settings.data_centre, loop.time)
         self.batch_calls = BatchCalls(stage_calls, self._server_replaced)
         self.peer_session = new_session(PEER_IDLE_S / 2)
         self.peer_calls = PeerCalls(self.peer_session)
@@ -121,13 +121,13 @@
         )
         self.membership.on_change = self._members_changed
         self.membership.on_revision = self._revision_heard
-        self.checks = ReachChecks(
+        self.checks = ReachabilityChecks(
             settings.data_centre,
             self.reach,
             lambda: list(self.membership.members.by_id.values()),
             self.membership.probe,
         )
-        self.failing = FailingServers(
+        self.failing = FailureGossip(
             self.backends, self.membership.announce_gossip_item, unix_ms
         )
         self.poison = PoisonRequests(
@@ -139,7 +139,7 @@
             partial(self.store.write, CRASHES_TABLE),
             self.counters.count,
         )
-        self.places = Places(
+        self.evacuation = EvacuationManager(
             self.backends,
             configuration.EVACUATION_PREFIX,
             lambda: self.tables.operator.complete_to,
@@ -172,7 +172,7 @@
         self.backends.on_change = self.local_queues.servers_changed
         self.membership.on_gossip_item = self._mark_heard
         self.membership.on_ack = self._ack_heard
-        self.reach.on_silent = self.checks.check
+        self.reach.on_timeout = self.checks.check
         self.table_feed = TableFeedClient(
             self.peer_calls, lambda table, key: self.tables.row(table, key)
         )
@@ -187,7 +187,7 @@
             deployments=self.deployments,
             server_list=self.server_list,
             crashes=self.poison.table,
-            evacuations=self.places.evacuations,
+            evacuations=self.evacuation.evacuations,
             apply_s=bounds.apply_s,
             evacuate_s=bounds.evacuate_s,
             drain_s=bounds.drain_s,
@@ -268,7 +268,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.checks.stop()
         self.shared_queues.checks.stop()
-        self.poison.ended.stop()
+        self.poison.crash_detector.stop()
         await self.membership.stop()
         await self._listeners.close()
         await self.backends.close()
@@ -313,9 +313,9 @@
             codec=requests,
             choose=self.choice.choose,
             admit=self.warm_up.admission.admit,
-            warm_engine=self.choice.warm_engine,
+            copy_source=self.choice.copy_source,
             data_centre_of=self.local_queues.data_centre_of,
-            is_over=self.backends.is_over,
+            has_ended=self.backends.has_ended,
             plan=planner.plan,
             refuse_hopeless=planner.refuse_hopeless,
             run_items=self.shared_queues.run,
@@ -324,7 +324,7 @@
             retries=self.retries,
             reach=self.reach,
             server_gone=self._server_replaced,
-            server_fails=self.failing.note_failure,
+            server_fails=self.failing.announce_failure,
             poison=self.poison,
             count=self.counters.count,
             metrics=self.metrics,
@@ -374,7 +374,7 @@
         members = list(self.membership.members.by_id.values())
         for member in members:
             if member.state is MemberState.SUSPECT:
-                self.reach.note_silent(member.data_centre, member.id)
+                self.reach.record_timeout(member.data_centre, member.id)
         self.retries.sharing_nodes = count_sharing_nodes(
             self.settings, self.membership.own, members
         )
@@ -385,16 +385,16 @@
         self.catch_up.on_number_announced(revision, member, age_s)
 
     def _mark_heard(self, mark: GossipItem) -> None:
-        self.failing.hear(mark)
-        self.poison.news.hear(mark)
-        self.places.news.hear(mark)
+        self.failing.receive(mark)
+        self.poison.gossip.receive(mark)
+        self.evacuation.gossip.receive(mark)
 
     def _ack_heard(self, member: Member) -> None:
-        self.checks.note_ack(member)
+        self.checks.record_ack(member)
         self.shared_queues.checks.on_ack(member)
 
     def _advanced(self, number: int) -> None:
         self.membership.announce_revision(Revision(number))
 
     def _server_replaced(self, backend: Backend) -> None:
-        self.server_list.forget(backend.entry.life)
+        self.server_list.forget(backend.entry.incarnation)
--- a/packages/node/src/eelgrass_node/process/backends.py
+++ b/packages/node/src/eelgrass_node/process/backends.py
@@ -18,7 +18,7 @@
     "BackendState",
     "Backends",
     "HostEntry",
-    "ServerLife",
+    "ServerIncarnation",
 ]
 
 # How long a call takes changes within seconds, as a server turns slow or well.
@@ -50,7 +50,7 @@
     LEAVING = "leaving"
 
 
-class ServerLife(msgspec.Struct, frozen=True, array_like=True):
+class ServerIncarnation(msgspec.Struct, frozen=True, array_like=True):
     """One life of a backend server, from its start to its end.
 
     A server may start again under its id. It then holds nothing of before, so
@@ -83,9 +83,9 @@
     warm_up_s: float = 0.0
 
     @property
-    def life(self) -> ServerLife:
+    def incarnation(self) -> ServerIncarnation:
         """The life of the server that the entry tells of."""
-        return ServerLife(self.id, self.started)
+        return ServerIncarnation(self.id, self.started)
 
 
 class Backend:
@@ -101,7 +101,7 @@
         self.connections = BackendConnections(entry.address)
         self.in_flight = 0
         # When it came to the list; those of the first list were there before.
-        self.listed_at = float("-inf")
+        self.first_listed_at = float("-inf")
         self.window = 1.0
         self.suspect_until = 0.0
         self._suspected_at = float("-inf")
@@ -114,7 +114,7 @@
         self._told_at = float("-inf")
         self._in_flight_then = 0
 
-    def take_entry(self, entry: HostEntry) -> None:
+    def apply_entry(self, entry: HostEntry) -> None:
         """Take in what the server says of itself now."""
         self.entry = entry
         if entry.warm_up_s > MAX_WARM_UP_S:
@@ -129,7 +129,7 @@
             now = asyncio.get_running_loop().time()
             self._told_cold_until = now + min(entry.warm_up_s, MAX_WARM_UP_S)
 
-    def take_for_cold(self, for_s: float) -> None:
+    def mark_cold(self, for_s: float) -> None:
         """Take the server for cold for so long, whatever it says of itself."""
         self._taken_for_cold_until = asyncio.get_running_loop().time() + for_s
 
@@ -156,7 +156,7 @@
         self._suspected_at = now
         self.suspect_until = now + suspicion_s
 
-    def note_call(self, took_s: float) -> None:
+    def record_call(self, took_s: float) -> None:
         """Take in how long a call took, in seconds."""
         self.call_s.record(took_s)
         self._called_at = asyncio.get_running_loop().time()
@@ -170,7 +170,7 @@
         age_s = asyncio.get_running_loop().time() - self._called_at
         return self.call_s.mean * 0.5 ** (age_s / CALL_HALF_LIFE_S)
 
-    def note_load(self, running: int, waiting: int) -> None:
+    def record_load(self, running: int, waiting: int) -> None:
         """Take in what the server says of its load, over all nodes."""
         self._told_load = (running, waiting)
         self._told_at = asyncio.get_running_loop().time()
@@ -194,7 +194,7 @@
             return False
         return asyncio.get_running_loop().time() >= self._full_until
 
-    def note_full(self) -> float:
+    def back_off(self) -> float:
         """Shrink the window after a refusal; return the pause in seconds."""
         taken = max(1, self.in_flight - 1)
         self.window = max(1.0, min(self.window * WINDOW_DECREASE, taken))
@@ -203,7 +203,7 @@
         self._full_until = asyncio.get_running_loop().time() + pause_s
         return pause_s
 
-    def note_taken(self, took_s: float = 0.0) -> None:
+    def record_success(self, took_s: float = 0.0) -> None:
         """End a suspicion, and let the window grow by one for each full window.
 
         A call that began before the suspicion, ``took_s`` seconds ago, says
@@ -278,15 +278,15 @@
         servers = self.by_id.values()
         return [s for s in servers if s.entry.data_centre == data_centre]
 
-    def places_changed(self) -> None:
+    def notify_all(self) -> None:
         """Have everything look again at where servers may get work."""
         for service in self.by_service:
             self.on_change(service)
 
-    def is_over(self, life: ServerLife) -> bool:
+    def has_ended(self, incarnation: ServerIncarnation) -> bool:
         """Return whether a server is known to have started again since a life."""
-        backend = self.by_id.get(life.id)
-        return backend is not None and backend.entry.started > life.started
+        backend = self.by_id.get(incarnation.id)
+        return backend is not None and backend.entry.started > incarnation.started
 
     def at_address(self, address: str) -> Backend | None:
         """Return the server at an IP address and port, if one is listed."""
@@ -300,7 +300,7 @@
         for backend in self.by_id.values():
             share = share_of_limit(backend.entry.limit, count)
             backend.window = max(1.0, min(backend.window, share))
-        self.places_changed()
+        self.notify_all()
 
     async def close(self) -> None:
         """Close all connections."""
@@ -317,7 +317,7 @@
 
     def _put(self, entry: HostEntry, is_first: bool) -> None:
         backend = self.by_id.get(entry.id)
-        if backend is not None and self.is_over(entry.life):
+        if backend is not None and self.has_ended(entry.incarnation):
             # Old news: the server has started again since.
             return
         if backend is not None and _is_successor(entry, backend.entry):
@@ -332,10 +332,10 @@
             backend = Backend(entry)
             backend.window = float(share_of_limit(entry.limit, self._live_nodes))
             if not is_first:
-                backend.listed_at = asyncio.get_running_loop().time()
+                backend.first_listed_at = asyncio.get_running_loop().time()
             self.by_id[entry.id] = backend
         if is_new or backend.entry is not entry:
-            backend.take_entry(entry)
+            backend.apply_entry(entry)
 
     def _remove(self, backend_id: BackendId) -> None:
         # Calls in flight keep the object, and its connections, until they end.
--- a/packages/node/src/eelgrass_node/process/batch_items.py
+++ b/packages/node/src/eelgrass_node/process/batch_items.py
@@ -6,8 +6,8 @@
 
 from eelgrass_coordination.ids import NodeId
 
-from .backends import ServerLife
-from .ended_servers import Fingerprint
+from .backends import ServerIncarnation
+from .crash_detector import Fingerprint
 
 __all__ = ["BatchItem", "ItemOutcome", "ItemFailure"]
 
@@ -55,7 +55,7 @@
     priority: int
     result_bytes: int
     preferred_data_centre: str = ""
-    producers: tuple[ServerLife, ...] = ()
+    producers: tuple[ServerIncarnation, ...] = ()
     account: str | None = None
     over_share: bool = False
     queued_at: float = 0.0
@@ -78,5 +78,5 @@
     handle: str | None = None
     failure: ItemFailure | None = msgspec.field(name="trouble", default=None)
     retry_after_s: float = 0.0
-    producer: ServerLife | None = msgspec.field(name="maker", default=None)
+    producer: ServerIncarnation | None = msgspec.field(name="maker", default=None)
     owner: NodeId | None = None
--- a/packages/node/src/eelgrass_node/process/batch_queue.py
+++ b/packages/node/src/eelgrass_node/process/batch_queue.py
@@ -19,14 +19,14 @@
 from ..log import Part, log
 from ..version.deployment import BatchLimits
 from .account_shares import AccountShares
-from .backends import Backend, ServerLife
+from .backends import Backend, ServerIncarnation
 from .batch_items import BatchItem, ItemFailure, ItemOutcome
 from .batch_selection import select_batch
 from .item_order import ItemOrder, rank
 from .overload import Overload
 from .queue_load import QueueLoad
 from .queue_servers import SERVER_FAILURES, QueueServers
-from .reach import DataCentreReach
+from .reachability import DataCentreReachability
 from .waiting_sets import WaitingSets
 
 __all__ = ["BatchQueue", "RunCall"]
@@ -66,9 +66,9 @@
         service: str,
         limits: Callable[[], BatchLimits],
         servers: Callable[[], list[Backend]],
-        reach: DataCentreReach,
+        reach: DataCentreReachability,
         data_centre_of: Callable[[str], str],
-        is_over: Callable[[ServerLife], bool],
+        has_ended: Callable[[ServerIncarnation], bool],
         run_call: RunCall,
         may_retry: Callable[[BatchItem], bool],
         record_wait: Callable[[str, float], None],
@@ -77,7 +77,7 @@
         self.service = service
         self._limits = limits
         self._servers = QueueServers(
-            service, limits, servers, reach, data_centre_of, is_over
+            service, limits, servers, reach, data_centre_of, has_ended
         )
         self._order = ItemOrder(limits, self._servers)
         self._run_call = run_call
@@ -122,9 +122,9 @@
         finally:
             self._waiting.withdraw(items)
 
-    def free(self, life: ServerLife, handles: list[str]) -> None:
+    def free(self, incarnation: ServerIncarnation, handles: list[str]) -> None:
         """Note that results were freed at a server."""
-        self._servers.free(life, handles)
+        self._servers.free(incarnation, handles)
         self.start_calls()
 
     def load(self) -> QueueLoad:
@@ -332,7 +332,7 @@
         made = sum(outcome.handle is not None for outcome in outcomes)
         self._shares.record_call(self._order.work_s(made), took_s)
         until = now + self._limits().result_life_s
-        producer = server.entry.life
+        producer = server.entry.incarnation
         for item, outcome in zip(batch, outcomes, strict=True):
             if outcome.handle is not None:
                 use.hold(outcome.handle, int(self._servers.size(item)), until)
--- a/packages/node/src/eelgrass_node/process/ended_servers.py
+++ b/packages/node/src/eelgrass_node/process/crash_detector.py
@@ -11,9 +11,9 @@
 from typing import NewType
 
 from ..log import Part, log
-from .backends import Backend, Backends, ServerLife
+from .backends import Backend, Backends, ServerIncarnation
 
-__all__ = ["EndedServers", "Fingerprint", "Listening"]
+__all__ = ["CrashDetector", "Fingerprint", "Listening"]
 
 # The same for all attempts at one request.
 Fingerprint = NewType("Fingerprint", str)
@@ -36,7 +36,7 @@
     UNKNOWN = "unknown"
 
 
-class EndedServers:
+class CrashDetector:
     """Collects the requests that servers were running when they ended.
 
     ``listening_at`` asks for an address, and ``on_ended`` is told which requests a life
@@ -47,35 +47,35 @@
         self,
         backends: Backends,
         listening_at: Callable[[str], Awaitable[Listening]],
-        on_ended: Callable[[ServerLife, list[Fingerprint]], None],
+        on_ended: Callable[[ServerIncarnation, list[Fingerprint]], None],
     ) -> None:
         self._backends = backends
         self._listening_at = listening_at
         self._on_ended = on_ended
-        self._lost_by_life: dict[ServerLife, list[Fingerprint]] = {}
-        self._ended: dict[ServerLife, None] = {}
-        self._check_by_life: dict[ServerLife, asyncio.Task] = {}
+        self._lost_by_life: dict[ServerIncarnation, list[Fingerprint]] = {}
+        self._ended: dict[ServerIncarnation, None] = {}
+        self._check_by_life: dict[ServerIncarnation, asyncio.Task] = {}
 
-    def note_lost(self, backend: Backend, request: Fingerprint) -> None:
+    def on_connection_lost(self, backend: Backend, request: Fingerprint) -> None:
         """Note that a request lost its connection to a server that may have run it."""
-        life = backend.entry.life
-        if life in self._ended:
+        incarnation = backend.entry.incarnation
+        if incarnation in self._ended:
             self._tell(backend, [request])
             return
         if self._is_planned(backend):
             return
-        lost = self._lost_by_life.get(life)
+        lost = self._lost_by_life.get(incarnation)
         if lost is not None:
             lost.append(request)
             return
-        self._lost_by_life[life] = [request]
+        self._lost_by_life[incarnation] = [request]
         check = asyncio.create_task(self._check(backend))
-        self._check_by_life[life] = check
-        check.add_done_callback(lambda _: self._check_by_life.pop(life))
+        self._check_by_life[incarnation] = check
+        check.add_done_callback(lambda _: self._check_by_life.pop(incarnation))
 
-    async def wait_checked(self, backend: Backend) -> None:
+    async def wait_for_check(self, backend: Backend) -> None:
         """Wait a short while until it is known whether a server has ended."""
-        check = self._check_by_life.get(backend.entry.life)
+        check = self._check_by_life.get(backend.entry.incarnation)
         if check is not None:
             await asyncio.wait({check}, timeout=CHECKED_S)
 
@@ -85,19 +85,19 @@
             check.cancel()
 
     async def _check(self, backend: Backend) -> None:
-        life = backend.entry.life
+        incarnation = backend.entry.incarnation
         try:
             listening = await self._ask(backend)
         finally:
-            lost = self._lost_by_life.pop(life)
+            lost = self._lost_by_life.pop(incarnation)
         if listening is Listening.NO:
-            self._remember(life)
+            self._remember(incarnation)
             self._tell(backend, lost)
             return
         log(
             Part.HOSTS,
             "Connections to a server were lost; it has not ended.",
-            backend=life.id,
+            backend=incarnation.id,
             listening=listening.value,
             requests=lost,
         )
@@ -115,8 +115,8 @@
         listed = self._backends.by_id.get(backend.entry.id)
         return listed is not backend or self._backends.is_leaving(backend)
 
-    def _remember(self, life: ServerLife) -> None:
-        self._ended[life] = None
+    def _remember(self, incarnation: ServerIncarnation) -> None:
+        self._ended[incarnation] = None
         if len(self._ended) > MAX_REMEMBERED:
             del self._ended[next(iter(self._ended))]
 
@@ -128,4 +128,4 @@
             address=backend.entry.address,
             requests=requests,
         )
-        self._on_ended(backend.entry.life, requests)
+        self._on_ended(backend.entry.incarnation, requests)
--- a/packages/node/src/eelgrass_node/process/crash_news.py
+++ b/packages/node/src/eelgrass_node/process/crash_gossip.py
@@ -11,17 +11,17 @@
 from eelgrass_coordination.ids import BackendId
 
 from ..log import Part, log
-from .backends import ServerLife
-from .ended_servers import Fingerprint
+from .backends import ServerIncarnation
+from .crash_detector import Fingerprint
 from .quarantine import Quarantine
 
-__all__ = ["CrashNews"]
+__all__ = ["CrashGossip"]
 
-ENDED_KIND = "ended-under"
-SOUND_KIND = "sound-request"
+CRASH_KIND = "ended-under"
+SUCCESS_KIND = "sound-request"
 
 
-class CrashNews:
+class CrashGossip:
     """The news that one node tells and hears; what it hears goes to ``quarantine``.
 
     ``announce`` tells of marks, and ``clock`` returns the time of day in milliseconds,
@@ -38,37 +38,41 @@
         self._announce = announce
         self._clock = clock
 
-    def tell_ended(self, life: ServerLife, requests: Iterable[Fingerprint]) -> None:
+    def announce_crash(
+        self, incarnation: ServerIncarnation, requests: Iterable[Fingerprint]
+    ) -> None:
         """Tell others that a server has ended under requests."""
         now = self._clock()
-        self._announce([GossipItem(ENDED_KIND, _name(r, life), now) for r in requests])
+        self._announce(
+            [GossipItem(CRASH_KIND, _name(r, incarnation), now) for r in requests]
+        )
 
-    def tell_success(self, request: Fingerprint) -> None:
+    def announce_success(self, request: Fingerprint) -> None:
         """Tell others that a server has run a request to its end."""
-        self._announce([GossipItem(SOUND_KIND, request, self._clock())])
+        self._announce([GossipItem(SUCCESS_KIND, request, self._clock())])
 
-    def hear(self, mark: GossipItem) -> None:
+    def receive(self, mark: GossipItem) -> None:
         """Take in what another node tells; marks of other kinds are nothing here."""
-        if mark.kind == SOUND_KIND:
+        if mark.kind == SUCCESS_KIND:
             self._quarantine.clear(Fingerprint(mark.name))
-        elif mark.kind == ENDED_KIND:
+        elif mark.kind == CRASH_KIND:
             self._hear_ended(mark.name)
 
     def _hear_ended(self, name: str) -> None:
         try:
             request, started, server_id = name.split(" ", 2)
-            life = ServerLife(BackendId(server_id), int(started))
+            incarnation = ServerIncarnation(BackendId(server_id), int(started))
         except ValueError as error:
             log(Part.HOSTS, "A mark is not taken.", name=name, error=str(error))
             return
-        if self._quarantine.take(Fingerprint(request), life):
+        if self._quarantine.record_crash(Fingerprint(request), incarnation):
             log(
                 Part.HOSTS,
                 "Another node says that a server ended under a request.",
-                backend=life.id,
+                backend=incarnation.id,
                 request=request,
             )
 
 
-def _name(request: Fingerprint, life: ServerLife) -> str:
-    return f"{request} {life.started} {life.id}"
+def _name(request: Fingerprint, incarnation: ServerIncarnation) -> str:
+    return f"{request} {incarnation.started} {incarnation.id}"
--- a/packages/node/src/eelgrass_node/process/crash_table.py
+++ b/packages/node/src/eelgrass_node/process/crash_table.py
@@ -15,12 +15,12 @@
 
 from ..exceptions import StoreUnavailable
 from ..log import Part, log
-from .backends import ServerLife
-from .ended_servers import Fingerprint
-from .quarantine import MAX_ENDED, REMEMBERED_S, Quarantine
+from .backends import ServerIncarnation
+from .crash_detector import Fingerprint
+from .quarantine import MAX_CRASHES, RETENTION_S, Quarantine
 from .store_tables import StoredRow
 
-__all__ = ["CrashTable", "End", "decode_end"]
+__all__ = ["CrashTable", "Crash", "decode_crash"]
 
 # Ends that are noticed together are written together.
 COLLECT_S = 0.05
@@ -41,18 +41,18 @@
 WriteRows = Callable[[Mapping[str, bytes], Sequence[str]], Awaitable[None]]
 
 
-class End(msgspec.Struct, frozen=True):
+class Crash(msgspec.Struct, frozen=True):
     """The end of a server under a request, at a time of day in Unix milliseconds."""
 
     request: Fingerprint
-    server: ServerLife
+    server: ServerIncarnation
     at_ms: int
 
 
-_decoder = msgspec.json.Decoder(End)
+_decoder = msgspec.json.Decoder(Crash)
 
 
-def decode_end(value: bytes) -> End:
+def decode_crash(value: bytes) -> Crash:
     """Decode the value of a row; raises :class:`msgspec.MsgspecError`."""
     return _decoder.decode(value)
 
@@ -70,23 +70,27 @@
         self._quarantine = quarantine
         self._write = write
         self._clock = clock
-        self._end_by_key: dict[str, End] = {}
+        self._end_by_key: dict[str, Crash] = {}
         # None stands for a row to be removed.
         self._pending_by_key: dict[str, bytes | None] = {}
         self._wake = asyncio.Event()
         self._urgent = asyncio.Event()
 
-    def tell_ended(self, life: ServerLife, requests: Iterable[Fingerprint]) -> None:
+    def record_crash(
+        self, incarnation: ServerIncarnation, requests: Iterable[Fingerprint]
+    ) -> None:
         """Write that a server has ended under requests."""
         for request in requests:
-            end = End(request, life, self._clock())
-            self._put(_key(request, life), msgspec.json.encode(end))
+            end = Crash(request, incarnation, self._clock())
+            self._put(_key(request, incarnation), msgspec.json.encode(end))
             self._urgent.set()
 
-    def tell_success(self, request: Fingerprint, lives: Iterable[ServerLife]) -> None:
+    def remove_crashes(
+        self, request: Fingerprint, incarnations: Iterable[ServerIncarnation]
+    ) -> None:
         """Remove the rows of a request that a server has run to its end."""
-        for life in lives:
-            self._put(_key(request, life), None)
+        for incarnation in incarnations:
+            self._put(_key(request, incarnation), None)
 
     def apply_rows(self, rows: tuple[StoredRow, ...]) -> None:
         """Take in rows that changed."""
@@ -150,7 +154,7 @@
 
     def _queue_outdated(self) -> None:
         """Have rows removed whose time is over, and those that are too many."""
-        since_ms = self._clock() - REMEMBERED_S * 1000
+        since_ms = self._clock() - RETENTION_S * 1000
         outdated = [
             key for key, end in self._end_by_key.items() if end.at_ms < since_ms
         ]
@@ -162,30 +166,30 @@
 
     def _worth(self, key: str) -> tuple[int, int]:
         end = self._end_by_key[key]
-        ends = len(self._quarantine.ended_under(end.request))
-        return (min(MAX_ENDED, ends), end.at_ms)
+        ends = len(self._quarantine.crashed_servers(end.request))
+        return (min(MAX_CRASHES, ends), end.at_ms)
 
     def _written(self, key: str, value: bytes) -> None:
         try:
-            end = decode_end(value)
+            end = decode_crash(value)
         except msgspec.MsgspecError as error:
             log(Part.STORE, "A row is not taken.", row=key, error=str(error))
             return
         self._end_by_key[key] = end
         age_s = max(0.0, (self._clock() - end.at_ms) / 1000)
-        self._quarantine.take(end.request, end.server, age_s)
+        self._quarantine.record_crash(end.request, end.server, age_s)
 
     def _removed(self, key: str) -> None:
         """Forget an end, also one that only marks have told of."""
         self._end_by_key.pop(key, None)
         request = Fingerprint(key.partition(KEY_SEPARATOR)[0])
-        for life in self._quarantine.ended_under(request):
-            if _key(request, life) == key:
-                self._quarantine.drop(request, life)
+        for incarnation in self._quarantine.crashed_servers(request):
+            if _key(request, incarnation) == key:
+                self._quarantine.remove_crash(request, incarnation)
 
 
-def _key(request: Fingerprint, life: ServerLife) -> str:
+def _key(request: Fingerprint, incarnation: ServerIncarnation) -> str:
     """Return a key of bounded length; server ids may be as long as a key may be."""
-    server = f"{life.started} {life.id}".encode()
+    server = f"{incarnation.started} {incarnation.id}".encode()
     digest = blake2b(server, digest_size=DIGEST_BYTES).hexdigest()
     return f"{request}{KEY_SEPARATOR}{digest}"
--- a/packages/node/src/eelgrass_node/process/dispatch.py
+++ b/packages/node/src/eelgrass_node/process/dispatch.py
@@ -57,9 +57,9 @@
         self._order = order
         self._waiters: list[_Waiter] = []
         self._arrivals = 0
-        self.held_s = MovingAverage(0.0)
-        self.first_s = MovingAverage(0.0)
-        self.between_s = MovingAverage(0.0)
+        self.service_time_s = MovingAverage(0.0)
+        self.first_token_s = MovingAverage(0.0)
+        self.token_interval_s = MovingAverage(0.0)
 
     @property
     def waiting(self) -> int:
@@ -77,7 +77,7 @@
         slots = self.slots()
         if not slots or self._has_room():
             return 0.0
-        return (ahead + 1) * self.held_s.mean / slots
+        return (ahead + 1) * self.service_time_s.mean / slots
 
     def wait_of(self, priority: int, deadline: float) -> float:
         """Return the expected wait of a newcomer, in seconds."""
@@ -88,8 +88,10 @@
     def expected_run(self, stage: Stage) -> float:
         """Return the seconds that a stage takes once it has a server."""
         if stage.kind is StageKind.GENERATE:
-            return self.first_s.mean + self.between_s.mean * int(stage.max_tokens)
-        return self.held_s.mean
+            return self.first_token_s.mean + self.token_interval_s.mean * int(
+                stage.max_tokens
+            )
+        return self.service_time_s.mean
 
     async def acquire(
         self,
@@ -138,7 +140,7 @@
 
     def refused_as_full(self, backend: Backend) -> None:
         """Note that a server was full; those that wait are served after a pause."""
-        pause_s = backend.note_full()
+        pause_s = backend.back_off()
         asyncio.get_running_loop().call_later(pause_s, self.grant)
 
     def grant(self) -> None:
--- a/packages/node/src/eelgrass_node/process/places/__init__.py
+++ b/packages/node/src/eelgrass_node/process/evacuation/__init__.py
@@ -3,8 +3,8 @@
 Used by whatever chooses a server; it decides nothing about which one is best.
 """
 
-from .evacuation_news import EvacuationNews
+from .evacuation_gossip import EvacuationGossip
 from .evacuations import Evacuations
-from .places import Places
+from .manager import EvacuationManager
 
-__all__ = ["EvacuationNews", "Evacuations", "Places"]
+__all__ = ["EvacuationGossip", "Evacuations", "EvacuationManager"]
--- a/packages/node/src/eelgrass_node/process/places/evacuations.py
+++ b/packages/node/src/eelgrass_node/process/evacuation/evacuations.py
@@ -24,7 +24,7 @@
 
 # How long another node's word holds against a store that is in reach and does not say
 # so itself: changes are in force within a few seconds.
-TOLD_S = 6.0
+GOSSIP_VALID_S = 6.0
 
 
 class _Word(msgspec.Struct, frozen=True):
@@ -63,7 +63,7 @@
         # Told of each word that was read, for other nodes.
         self.on_read: Callable[[DataCentre, int, bool], None] = lambda *word: None
 
-    def covers(self, data_centre: DataCentre) -> bool:
+    def is_evacuated(self, data_centre: DataCentre) -> bool:
         """Return whether the servers of a data centre get no new work."""
         return data_centre in self.since_by_data_centre
 
@@ -86,7 +86,9 @@
                 self._read(data_centre, version, False)
         self._apply_all()
 
-    def hear(self, data_centre: DataCentre, version: int, is_evacuated: bool) -> None:
+    def apply_gossip(
+        self, data_centre: DataCentre, version: int, is_evacuated: bool
+    ) -> None:
         """Take in what another node has read."""
         known = self._told_by_data_centre.get(data_centre)
         if known is not None and known.version >= version:
@@ -96,13 +98,13 @@
         self._apply(data_centre)
         self._look_again()
 
-    def note_store_return(self) -> None:
+    def on_store_return(self) -> None:
         """Note that the store can be read again; what others told lapses soon."""
         self._look_again()
 
     def _look_again(self) -> None:
         """Look once what was told should have come from the store, too."""
-        asyncio.get_running_loop().call_later(TOLD_S, self._apply_all)
+        asyncio.get_running_loop().call_later(GOSSIP_VALID_S, self._apply_all)
 
     def _data_centre_of(self, key: str) -> DataCentre | None:
         name = key.removeprefix(self._prefix)
@@ -125,7 +127,7 @@
     def _apply(self, data_centre: DataCentre) -> None:
         word, source = self._word(data_centre)
         is_evacuated = word is not None and word.is_evacuated
-        if is_evacuated == self.covers(data_centre):
+        if is_evacuated == self.is_evacuated(data_centre):
             return
         version = -1 if word is None else word.version
         if is_evacuated:
@@ -148,7 +150,7 @@
     def _counts(self, told: _Word, read: _Word | None) -> bool:
         if told.version <= max(self._complete_to(), read.version if read else -1):
             return False
-        return not self._store_reachable() or self._clock() - told.at < TOLD_S
+        return not self._store_reachable() or self._clock() - told.at < GOSSIP_VALID_S
 
     def _log(
         self, sentence: str, data_centre: DataCentre, version: int, source: str
--- a/packages/node/src/eelgrass_node/process/places/places.py
+++ b/packages/node/src/eelgrass_node/process/evacuation/manager.py
@@ -7,13 +7,13 @@
 
 from ...version.deployment import Deployment, ServiceName
 from ..backends import MAX_WARM_UP_S, Backends
-from .evacuation_news import EvacuationNews
+from .evacuation_gossip import EvacuationGossip
 from .evacuations import Evacuations
 
-__all__ = ["Places"]
+__all__ = ["EvacuationManager"]
 
 
-class Places:
+class EvacuationManager:
     """Keeps ``backends`` in line with the data centres that are being emptied.
 
     ``prefix`` begins the keys of the operator's rows, ``complete_to`` and
@@ -34,11 +34,11 @@
         self._backends = backends
         self._deployment = deployment
         self.evacuations = Evacuations(prefix, complete_to, store_reachable, clock)
-        self.news = EvacuationNews(self.evacuations, announce)
-        self.evacuations.on_read = self.news.tell
-        self.evacuations.on_begin = lambda data_centre: backends.places_changed()
+        self.gossip = EvacuationGossip(self.evacuations, announce)
+        self.evacuations.on_read = self.gossip.announce
+        self.evacuations.on_begin = lambda data_centre: backends.notify_all()
         self.evacuations.on_end = self._use_again
-        backends.is_evacuated = self.evacuations.covers
+        backends.is_evacuated = self.evacuations.is_evacuated
 
     def in_flight(self, data_centre: DataCentre) -> int:
         """Return how many calls of this node still run in a data centre."""
@@ -48,8 +48,8 @@
     def _use_again(self, data_centre: DataCentre) -> None:
         """Use a data centre again; its servers may have become cold meanwhile."""
         for server in self._backends.in_data_centre(data_centre):
-            server.take_for_cold(self._warm_up_s(server.entry.service))
-        self._backends.places_changed()
+            server.mark_cold(self._warm_up_s(server.entry.service))
+        self._backends.notify_all()
 
     def _warm_up_s(self, service: str) -> float:
         deployment = self._deployment()
--- a/packages/node/src/eelgrass_node/process/failing_servers.py
+++ b/packages/node/src/eelgrass_node/process/failure_gossip.py
@@ -14,12 +14,12 @@
 from ..log import Part, log
 from .backends import Backend, Backends
 
-__all__ = ["FailingServers"]
+__all__ = ["FailureGossip"]
 
-MARK_KIND = "failing"
+GOSSIP_KIND = "failing"
 
 
-class FailingServers:
+class FailureGossip:
     """Failures of servers as the nodes tell them.
 
     ``announce`` tells of a mark, and ``clock`` returns the time of day in
@@ -36,14 +36,14 @@
         self._announce = announce
         self._clock = clock
 
-    def note_failure(self, backend: Backend) -> None:
+    def announce_failure(self, backend: Backend) -> None:
         """Tell other nodes that a server has failed a request."""
-        self._announce(GossipItem(MARK_KIND, backend.entry.id, self._clock()))
+        self._announce(GossipItem(GOSSIP_KIND, backend.entry.id, self._clock()))
 
-    def hear(self, mark: GossipItem) -> None:
+    def receive(self, mark: GossipItem) -> None:
         """Take in what another node tells."""
         backend = self._backends.by_id.get(BackendId(mark.name))
-        if mark.kind != MARK_KIND or backend is None:
+        if mark.kind != GOSSIP_KIND or backend is None:
             return
         if mark.number < backend.entry.started:
             # It failed in an earlier life.
--- a/packages/node/src/eelgrass_node/process/host_settings.py
+++ b/packages/node/src/eelgrass_node/process/host_settings.py
@@ -7,7 +7,7 @@
 from eelgrass_coordination import Member
 from eelgrass_coordination.ids import DataCentre, NodeId
 
-from .warm_up.pace import WarmUpBounds
+from .warm_up.rate_limit import WarmUpBounds
 
 __all__ = ["HostSettings", "ServingBounds", "StoreSettings"]
 
--- a/packages/node/src/eelgrass_node/process/local_queues.py
+++ b/packages/node/src/eelgrass_node/process/local_queues.py
@@ -9,7 +9,7 @@
 from .batch_queue import BatchQueue, RunCall
 from .poison_requests import PoisonRequests
 from .queue_load import QueueLoad
-from .reach import DataCentreReach
+from .reachability import DataCentreReachability
 from .retry_budget import RetryBudgets
 
 __all__ = ["LocalQueues"]
@@ -42,7 +42,7 @@
         backends: Backends,
         deployment: Callable[[], Deployment | None],
         retries: RetryBudgets,
-        reach: DataCentreReach,
+        reach: DataCentreReachability,
         run_call: RunCall,
         free_call: FreeCall,
         producer_of: Callable[[str], str],
@@ -67,7 +67,7 @@
         self, service: ServiceName, items: list[BatchItem]
     ) -> list[ItemOutcome]:
         """Run pieces of one stage and return their outcomes, in order."""
-        self._retries.note_requests(service, len(items))
+        self._retries.record_requests(service, len(items))
         if not self._usable(service, items[0].regions):
             return [ItemOutcome(failure=ItemFailure.UNREACHABLE)] * len(items)
         return await self.queue(service).run(items)
@@ -117,7 +117,7 @@
                 lambda: self._usable(service),
                 self._reach,
                 self.data_centre_of,
-                self._backends.is_over,
+                self._backends.has_ended,
                 self._call,
                 lambda item: self._may_retry(service, item),
                 self._record_wait,
@@ -150,17 +150,17 @@
         if not failures <= {ItemFailure.LOST, ItemFailure.TIMED_OUT}:
             return outcomes
         requests = {item.fingerprint for item in items if item.fingerprint}
-        await self._poison.note_lost(backend, requests)
+        await self._poison.on_connection_lost(backend, requests)
         for item in items:
             # What ends servers alone spares the pieces of other requests.
-            ended = self._poison.quarantine.ended_under(item.fingerprint)
+            ended = self._poison.quarantine.crashed_servers(item.fingerprint)
             item.isolated |= len(ended) > 1
         if ItemFailure.LOST not in failures:
             return outcomes
         return [ItemOutcome(failure=ItemFailure.UNREACHABLE)] * len(items)
 
     def _may_retry(self, service: ServiceName, item: BatchItem) -> bool:
-        if self._poison.quarantine.holds(item.fingerprint):
+        if self._poison.quarantine.is_quarantined(item.fingerprint):
             return False
         return self._retries.try_spend(service, item.request_id)
 
@@ -168,7 +168,7 @@
         self, service: ServiceName, backend: Backend, handles: list[str]
     ) -> None:
         if await self._free_call(backend, handles):
-            self.queue(service).free(backend.entry.life, handles)
+            self.queue(service).free(backend.entry.incarnation, handles)
 
     def _limits(self, service: ServiceName) -> BatchLimits:
         deployment = self._deployment()
--- a/packages/node/src/eelgrass_node/process/placement.py
+++ b/packages/node/src/eelgrass_node/process/placement.py
@@ -17,7 +17,7 @@
 
 from .backends import Backend
 
-__all__ = ["hash_order", "place_plain", "place_prompt", "warm_engine"]
+__all__ = ["hash_order", "place_plain", "place_prompt", "copy_source"]
 
 # Seconds by which a running request slows a new one down, and by which one that
 # waits does: a step takes some 0.15 ms more for each running request and a
@@ -50,7 +50,7 @@
 
 def place_prompt(
     servers: Sequence[Backend],
-    subject: str | None,
+    prefix_key: str | None,
     shared_tokens: int,
     data_centre: str,
     inputs_at: str,
@@ -64,10 +64,10 @@
     the engine has to fetch, if any.
     """
     read_s = shared_tokens / READ_TOKENS_PER_S
-    if subject is None:
+    if prefix_key is None:
         ordered = random.sample(servers, len(servers))
     else:
-        ordered = hash_order(servers, subject)
+        ordered = hash_order(servers, prefix_key)
 
     def cost(placed: tuple[int, Backend]) -> float:
         place, server = placed
@@ -82,10 +82,10 @@
     return min(enumerate(ordered), key=cost)[1]
 
 
-def warm_engine(
+def copy_source(
     listed: Sequence[Backend],
     chosen: Backend,
-    subject: str | None,
+    prefix_key: str | None,
     shared_tokens: int,
     copy_s: float,
     now: float,
@@ -99,20 +99,20 @@
     enough. ``copy_s`` is how long copying them takes. An engine that holds them
     already copies nothing.
     """
-    if subject is None or shared_tokens < MIN_COPY_TOKENS:
+    if prefix_key is None or shared_tokens < MIN_COPY_TOKENS:
         return None
     if copy_s > COPY_FRACTION * shared_tokens / READ_TOKENS_PER_S:
         return None
-    settled = [s for s in listed if now - s.listed_at >= SETTLED_S]
+    settled = [s for s in listed if now - s.first_listed_at >= SETTLED_S]
     if not settled:
         return None
-    holder = hash_order(settled, subject)[0]
+    holder = hash_order(settled, prefix_key)[0]
     return None if holder is chosen else holder
 
 
-def hash_order(servers: Sequence[Backend], subject: str) -> list[Backend]:
+def hash_order(servers: Sequence[Backend], prefix_key: str) -> list[Backend]:
     """Return the servers in the order of their hash with a subject."""
-    return ranked(servers, subject, name=lambda server: server.entry.id)
+    return ranked(servers, prefix_key, name=lambda server: server.entry.id)
 
 
 def _plain_cost(server: Backend, data_centre: str, now: float) -> float:
--- a/packages/node/src/eelgrass_node/process/platform_tables.py
+++ b/packages/node/src/eelgrass_node/process/platform_tables.py
@@ -8,7 +8,7 @@
 
 from .crash_table import CrashTable
 from .deployments import DeploymentInForce
-from .places import Evacuations
+from .evacuation import Evacuations
 from .server_list import ServerList
 from .store_tables import StoredRow, TableReplica
 from .table_relay import AskRelay, RelayedReader, StoreReader, TableRelay, relays_of
@@ -79,7 +79,7 @@
             names.operator,
             self._take_operator_rows,
             evacuations.apply_snapshot,
-            evacuations.note_store_return,
+            evacuations.on_store_return,
             CONFIGURATION_WAIT_S,
             min(apply_s, evacuate_s),
         )
@@ -88,7 +88,7 @@
             names.servers,
             lambda rows, source: server_list.apply_rows(rows),
             server_list.apply_snapshot,
-            server_list.note_outage_end,
+            server_list.on_outage_end,
             SERVERS_WAIT_S,
             drain_s,
         )
--- a/packages/node/src/eelgrass_node/process/poison_requests.py
+++ b/packages/node/src/eelgrass_node/process/poison_requests.py
@@ -8,10 +8,10 @@
 
 from eelgrass_coordination import GossipItem
 
-from .backends import Backend, Backends, ServerLife
-from .crash_news import CrashNews
+from .backends import Backend, Backends, ServerIncarnation
+from .crash_detector import CrashDetector, Fingerprint, Listening
+from .crash_gossip import CrashGossip
 from .crash_table import CrashTable, WriteRows
-from .ended_servers import EndedServers, Fingerprint, Listening
 from .quarantine import Quarantine
 
 __all__ = ["PoisonRequests"]
@@ -38,27 +38,29 @@
     ) -> None:
         self._count = count
         self.quarantine = Quarantine(clock)
-        self.ended = EndedServers(backends, listening_at, self._note_ended)
-        self.news = CrashNews(self.quarantine, announce, unix_ms)
+        self.crash_detector = CrashDetector(backends, listening_at, self._on_crash)
+        self.gossip = CrashGossip(self.quarantine, announce, unix_ms)
         self.table = CrashTable(self.quarantine, write, unix_ms)
 
-    async def note_lost(
+    async def on_connection_lost(
         self, backend: Backend, requests: Iterable[Fingerprint]
     ) -> None:
         """Note requests that lost a server, and wait for a check whether it ended."""
         for request in requests:
-            self.ended.note_lost(backend, request)
-        await self.ended.wait_checked(backend)
+            self.crash_detector.on_connection_lost(backend, request)
+        await self.crash_detector.wait_for_check(backend)
 
-    def note_success(self, request: Fingerprint) -> None:
+    def record_success(self, request: Fingerprint) -> None:
         """Clear a request that a server has run to its end, here and elsewhere."""
-        lives = self.quarantine.clear(request)
-        if lives:
-            self.news.tell_success(request)
-            self.table.tell_success(request, lives)
+        incarnations = self.quarantine.clear(request)
+        if incarnations:
+            self.gossip.announce_success(request)
+            self.table.remove_crashes(request, incarnations)
 
-    def _note_ended(self, life: ServerLife, requests: list[Fingerprint]) -> None:
+    def _on_crash(
+        self, incarnation: ServerIncarnation, requests: list[Fingerprint]
+    ) -> None:
         self._count("server.ended")
-        unknown = [r for r in requests if self.quarantine.take(r, life)]
-        self.news.tell_ended(life, unknown)
-        self.table.tell_ended(life, unknown)
+        unknown = [r for r in requests if self.quarantine.record_crash(r, incarnation)]
+        self.gossip.announce_crash(incarnation, unknown)
+        self.table.record_crash(incarnation, unknown)
--- a/packages/node/src/eelgrass_node/process/quarantine.py
+++ b/packages/node/src/eelgrass_node/process/quarantine.py
@@ -24,22 +24,22 @@
 import msgspec
 
 from ..log import Part, log
-from .backends import ServerLife
-from .ended_servers import Fingerprint
+from .backends import ServerIncarnation
+from .crash_detector import Fingerprint
 
-__all__ = ["MAX_ENDED", "Quarantine"]
+__all__ = ["MAX_CRASHES", "Quarantine"]
 
 # A request under which so many servers have ended is sent to no other one.
-MAX_ENDED = 3
+MAX_CRASHES = 3
 # Tied requests may be tried for so long after the last server ended: a caller that has
 # lost its answer comes again within this time.
-TIE_S = 2.0
+TIE_RETRY_S = 2.0
 # Ends within this time have one cause: they are noted as soon as connections break.
-TOGETHER_S = 0.3
+SAME_CAUSE_S = 0.3
 # A server that ends for a cause of its own runs more than one or two requests, mostly.
-MIN_BESIDE = 2
+MIN_NEIGHBOURS = 2
 # A request is remembered for so long after the last server has ended under it.
-REMEMBERED_S = 3600.0
+RETENTION_S = 3600.0
 # Requests that are remembered; those under which fewest servers have ended go first.
 MAX_REMEMBERED = 4096
 
@@ -47,7 +47,7 @@
 class _Suspect(msgspec.Struct):
     """The servers that have ended under a request, with the time of each end."""
 
-    ended_at_by_life: dict[ServerLife, float]
+    ended_at_by_life: dict[ServerIncarnation, float]
 
     @property
     def last_at(self) -> float:
@@ -60,87 +60,93 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._suspect_by_request: dict[Fingerprint, _Suspect] = {}
-        self._requests_by_life: dict[ServerLife, set[Fingerprint]] = {}
+        self._requests_by_life: dict[ServerIncarnation, set[Fingerprint]] = {}
 
     def __len__(self) -> int:
         """Return how many requests are remembered."""
         return len(self._suspect_by_request)
 
-    def ended_under(self, request: Fingerprint) -> tuple[ServerLife, ...]:
+    def crashed_servers(self, request: Fingerprint) -> tuple[ServerIncarnation, ...]:
         """Return the servers that have ended under a request."""
         suspect = self._known(request)
         return () if suspect is None else tuple(suspect.ended_at_by_life)
 
-    def held(self) -> int:
+    def quarantined_count(self) -> int:
         """Return how many requests are sent to no server."""
-        return sum(self.holds(request) for request in list(self._suspect_by_request))
+        return sum(
+            self.is_quarantined(request) for request in list(self._suspect_by_request)
+        )
 
-    def take(self, request: Fingerprint, life: ServerLife, age_s: float = 0.0) -> bool:
+    def record_crash(
+        self, request: Fingerprint, incarnation: ServerIncarnation, age_s: float = 0.0
+    ) -> bool:
         """Note that a server ended under a request, ``age_s`` ago; False if known."""
-        if age_s >= REMEMBERED_S:
+        if age_s >= RETENTION_S:
             return False
         suspect = self._known(request)
         if suspect is None:
             self._make_room()
             suspect = self._suspect_by_request[request] = _Suspect({})
-        elif life in suspect.ended_at_by_life:
+        elif incarnation in suspect.ended_at_by_life:
             return False
-        suspect.ended_at_by_life[life] = self._clock() - age_s
-        self._requests_by_life.setdefault(life, set()).add(request)
-        if len(suspect.ended_at_by_life) >= MAX_ENDED:
+        suspect.ended_at_by_life[incarnation] = self._clock() - age_s
+        self._requests_by_life.setdefault(incarnation, set()).add(request)
+        if len(suspect.ended_at_by_life) >= MAX_CRASHES:
             log(
                 Part.REQUESTS,
                 "Servers have ended under a request again and again.",
                 request=request,
                 backends=[known.id for known in suspect.ended_at_by_life],
-                held=self.holds(request),
+                held=self.is_quarantined(request),
             )
         return True
 
-    def drop(self, request: Fingerprint, life: ServerLife) -> None:
+    def remove_crash(
+        self, request: Fingerprint, incarnation: ServerIncarnation
+    ) -> None:
         """Forget that a server has ended under a request."""
         suspect = self._suspect_by_request.get(request)
-        if suspect is None or suspect.ended_at_by_life.pop(life, None) is None:
+        if suspect is None or suspect.ended_at_by_life.pop(incarnation, None) is None:
             return
-        self._drop_from_life(request, life)
+        self._drop_from_life(request, incarnation)
         if not suspect.ended_at_by_life:
             del self._suspect_by_request[request]
 
-    def clear(self, request: Fingerprint) -> tuple[ServerLife, ...]:
+    def clear(self, request: Fingerprint) -> tuple[ServerIncarnation, ...]:
         """Forget a request that a server has run to its end; return what was known."""
         suspect = self._suspect_by_request.pop(request, None)
         if suspect is None:
             return ()
-        for life in suspect.ended_at_by_life:
-            self._drop_from_life(request, life)
+        for incarnation in suspect.ended_at_by_life:
+            self._drop_from_life(request, incarnation)
         return tuple(suspect.ended_at_by_life)
 
-    def suspects(self, request: Fingerprint) -> bool:
+    def is_suspect(self, request: Fingerprint) -> bool:
         """Return whether a server has ended under a request."""
         return self._known(request) is not None
 
-    def holds(self, request: Fingerprint) -> bool:
+    def is_quarantined(self, request: Fingerprint) -> bool:
         """Return whether a request is sent to no server."""
         suspect = self._known(request)
-        if suspect is None or len(suspect.ended_at_by_life) < MAX_ENDED:
+        if suspect is None or len(suspect.ended_at_by_life) < MAX_CRASHES:
             return False
         occasions = self._occasions(request, suspect)
-        if len(suspect.ended_at_by_life) > MAX_ENDED:
+        if len(suspect.ended_at_by_life) > MAX_CRASHES:
             return occasions > 1
-        if occasions < MAX_ENDED:
+        if occasions < MAX_CRASHES:
             return False
         rivals = self._rivals(request, suspect)
-        if any(len(rival.ended_at_by_life) > MAX_ENDED for rival in rivals):
+        if any(len(rival.ended_at_by_life) > MAX_CRASHES for rival in rivals):
             # That one explains them all.
             return False
-        return not rivals or self._clock() - suspect.last_at >= TIE_S
+        return not rivals or self._clock() - suspect.last_at >= TIE_RETRY_S
 
-    def held_s(self, request: Fingerprint) -> float:
+    def remaining_s(self, request: Fingerprint) -> float:
         """Return how long a request will still be held, in seconds."""
         suspect = self._known(request)
         if suspect is None:
             return 0.0
-        return max(0.0, suspect.last_at + REMEMBERED_S - self._clock())
+        return max(0.0, suspect.last_at + RETENTION_S - self._clock())
 
     def _occasions(self, request: Fingerprint, suspect: _Suspect) -> int:
         """Return how many ends count: those at one moment once, if others explain them.
@@ -148,13 +154,13 @@
         They do not where one of the servers ran hardly anything else.
         """
         ends = sorted(
-            (ended_at, self._ran_others(life, request, suspect))
-            for life, ended_at in suspect.ended_at_by_life.items()
+            (ended_at, self._ran_others(incarnation, request, suspect))
+            for incarnation, ended_at in suspect.ended_at_by_life.items()
         )
         occasions = 0
         while ends:
             began_at = ends[0][0]
-            moment = [end for end in ends if end[0] - began_at <= TOGETHER_S]
+            moment = [end for end in ends if end[0] - began_at <= SAME_CAUSE_S]
             shared = all(ran_others for _, ran_others in moment)
             together = shared and self._others_ended(suspect, began_at)
             occasions += 1 if together else len(moment)
@@ -163,21 +169,23 @@
 
     def _others_ended(self, suspect: _Suspect, at: float) -> bool:
         """Return whether a server ended at a moment that a suspect did not run on."""
-        for life, requests in self._requests_by_life.items():
-            if life in suspect.ended_at_by_life:
+        for incarnation, requests in self._requests_by_life.items():
+            if incarnation in suspect.ended_at_by_life:
                 continue
             known = (self._suspect_by_request[other] for other in requests)
-            if any(abs(k.ended_at_by_life[life] - at) <= TOGETHER_S for k in known):
+            if any(
+                abs(k.ended_at_by_life[incarnation] - at) <= SAME_CAUSE_S for k in known
+            ):
                 return True
         return False
 
     def _ran_others(
-        self, life: ServerLife, request: Fingerprint, suspect: _Suspect
+        self, incarnation: ServerIncarnation, request: Fingerprint, suspect: _Suspect
     ) -> bool:
         """Return whether a server ended under several requests that are no rivals."""
-        others = self._requests_by_life[life] - {request}
+        others = self._requests_by_life[incarnation] - {request}
         speaking = (other for other in others if not self._is_rival(other, suspect))
-        return sum(1 for _ in islice(speaking, MIN_BESIDE)) == MIN_BESIDE
+        return sum(1 for _ in islice(speaking, MIN_NEIGHBOURS)) == MIN_NEIGHBOURS
 
     def _is_rival(self, other: Fingerprint, suspect: _Suspect) -> bool:
         """Return whether all servers of a suspect ended under another request, too."""
@@ -186,7 +194,10 @@
 
     def _rivals(self, request: Fingerprint, suspect: _Suspect) -> list[_Suspect]:
         """Return the other requests under which all of the same servers ended."""
-        sharing = (self._requests_by_life[life] for life in suspect.ended_at_by_life)
+        sharing = (
+            self._requests_by_life[incarnation]
+            for incarnation in suspect.ended_at_by_life
+        )
         rivals = set.intersection(*sharing) - {request}
         return [self._suspect_by_request[rival] for rival in rivals]
 
@@ -195,7 +206,7 @@
         suspect = self._suspect_by_request.get(request)
         if suspect is None:
             return None
-        if self._clock() - suspect.last_at >= REMEMBERED_S:
+        if self._clock() - suspect.last_at >= RETENTION_S:
             self.clear(request)
             return None
         return suspect
@@ -210,8 +221,10 @@
 
         self.clear(min(suspects, key=worth))
 
-    def _drop_from_life(self, request: Fingerprint, life: ServerLife) -> None:
-        requests = self._requests_by_life[life]
+    def _drop_from_life(
+        self, request: Fingerprint, incarnation: ServerIncarnation
+    ) -> None:
+        requests = self._requests_by_life[incarnation]
         requests.discard(request)
         if not requests:
-            del self._requests_by_life[life]
+            del self._requests_by_life[incarnation]
--- a/packages/node/src/eelgrass_node/process/queue_owners.py
+++ b/packages/node/src/eelgrass_node/process/queue_owners.py
@@ -20,7 +20,7 @@
 from eelgrass_coordination.ids import DataCentre, NodeId
 
 from .high_capacity_nodes import high_capacity_nodes
-from .reach import DataCentreReach
+from .reachability import DataCentreReachability
 
 __all__ = ["QueueOwners"]
 
@@ -43,7 +43,7 @@
         data_centre: DataCentre,
         capacity: float,
         members: Callable[[], list[Member]],
-        reach: DataCentreReach,
+        reach: DataCentreReachability,
         clock: Callable[[], float],
     ) -> None:
         self._own = own
@@ -82,7 +82,7 @@
 
         Calls that fail together, as those to a node that stands still, are one failure.
         """
-        self._reach.note_silent(owner.data_centre, owner.id)
+        self._reach.record_timeout(owner.data_centre, owner.id)
         if self.is_backed_off(owner):
             return
         backoff_s = min(MAX_BACKOFF_S, BACKOFF_S * 2 ** self._failures[owner.id])
@@ -97,7 +97,7 @@
         """Trust a node again, because it answered."""
         self._failures.pop(owner.id, None)
         self._backed_off_until.pop(owner.id, None)
-        self._reach.note_answer(owner.data_centre)
+        self._reach.record_answer(owner.data_centre)
 
     def _first(self, members: list[Member], service: str) -> Member | None:
         """Return the owner among ``members`` and this node; None for this node."""
@@ -114,6 +114,6 @@
         return self._own if member is None else member.id
 
     def _is_trusted(self, member: Member) -> bool:
-        if self._reach.in_doubt(member.data_centre):
+        if self._reach.is_suspected(member.data_centre):
             return False
         return not self.is_backed_off(member)
--- a/packages/node/src/eelgrass_node/process/queue_servers.py
+++ b/packages/node/src/eelgrass_node/process/queue_servers.py
@@ -13,9 +13,9 @@
 
 from ..log import Part, log
 from ..version.deployment import BatchLimits
-from .backends import Backend, ServerLife
+from .backends import Backend, ServerIncarnation
 from .batch_items import BatchItem, ItemFailure, ItemOutcome
-from .reach import DataCentreReach
+from .reachability import DataCentreReachability
 from .server_use import ServerUse
 
 __all__ = ["SERVER_FAILURES", "QueueServers"]
@@ -50,35 +50,35 @@
         service: str,
         limits: Callable[[], BatchLimits],
         listed: Callable[[], list[Backend]],
-        reach: DataCentreReach,
+        reach: DataCentreReachability,
         data_centre_of: Callable[[str], str],
-        is_over: Callable[[ServerLife], bool],
+        has_ended: Callable[[ServerIncarnation], bool],
     ) -> None:
         self.service = service
         self._limits = limits
         self._listed = listed
         self._reach = reach
         self._data_centre_of = data_centre_of
-        self._is_over = is_over
-        self._use_by_life: dict[ServerLife, ServerUse] = {}
+        self._is_over = has_ended
+        self._use_by_incarnation: dict[ServerIncarnation, ServerUse] = {}
         self._size_factor = 1.0
 
     def healthy(self) -> Sequence[Backend]:
         """Return the most trusted servers there are."""
-        return self._reach.sound(self._listed())
+        return self._reach.healthiest(self._listed())
 
     def use(self, server: Backend) -> ServerUse:
         """Return what the queue has at a server."""
-        life = server.entry.life
-        use = self._use_by_life.get(life)
+        incarnation = server.entry.incarnation
+        use = self._use_by_incarnation.get(incarnation)
         if use is None:
             self._forget_gone()
-            use = self._use_by_life[life] = ServerUse(_now())
+            use = self._use_by_incarnation[incarnation] = ServerUse(_now())
         return use
 
-    def free(self, life: ServerLife, handles: list[str]) -> None:
+    def free(self, incarnation: ServerIncarnation, handles: list[str]) -> None:
         """Note that results were freed at a server."""
-        use = self._use_by_life.get(life)
+        use = self._use_by_incarnation.get(incarnation)
         if use is not None:
             for handle in handles:
                 use.free(handle)
@@ -144,7 +144,7 @@
         """Return whether inputs of a piece are gone, or probably out of reach."""
         if any(self._is_over(producer) for producer in item.producers):
             return True
-        return any(self._reach.in_doubt(place) for place in self._places(item))
+        return any(self._reach.is_suspected(place) for place in self._places(item))
 
     def record_call(
         self,
@@ -159,16 +159,16 @@
         if ItemFailure.TIMED_OUT in failures:
             self._note_silent(server, batch)
         else:
-            self._reach.note_answer(server.entry.data_centre)
+            self._reach.record_answer(server.entry.data_centre)
         if ItemFailure.UNREACHABLE not in failures:
-            use.note_call(took_s / self.call_s(len(batch)), _now())
+            use.record_call(took_s / self.call_s(len(batch)), _now())
         # A server that works fails single pieces now and then.
         if failures <= SERVER_FAILURES:
             if not self._hangs_on_inputs(server, batch, failures):
                 server.suspect()
             self._log_call("A call failed.", server, batch, outcomes, took_s)
             return
-        server.note_taken(took_s)
+        server.record_success(took_s)
         if ItemFailure.NO_ROOM in failures:
             self._note_full(use)
             self._log_call("No room for results.", server, batch, outcomes, took_s)
@@ -214,8 +214,8 @@
         for item in batch:
             item.isolated = True
             for place in self._places(item) - {server.entry.data_centre}:
-                self._reach.note_silent(place, item.inputs[0])
-        self._reach.note_silent(server.entry.data_centre, server.entry.id)
+                self._reach.record_timeout(place, item.inputs[0])
+        self._reach.record_timeout(server.entry.data_centre, server.entry.id)
 
     def _hangs_on_inputs(
         self, server: Backend, batch: list[BatchItem], failures: set[ItemFailure | None]
@@ -231,10 +231,10 @@
 
     def _forget_gone(self) -> None:
         """Drop what is known of servers that are no longer listed."""
-        listed = {server.entry.life for server in self._listed()}
-        if len(self._use_by_life) > MAX_KEPT_FACTOR * len(listed):
-            for life in self._use_by_life.keys() - listed:
-                del self._use_by_life[life]
+        listed = {server.entry.incarnation for server in self._listed()}
+        if len(self._use_by_incarnation) > MAX_KEPT_FACTOR * len(listed):
+            for incarnation in self._use_by_incarnation.keys() - listed:
+                del self._use_by_incarnation[incarnation]
 
     def _log_call(
         self,
--- a/packages/node/src/eelgrass_node/process/reach.py
+++ b/packages/node/src/eelgrass_node/process/reachability.py
@@ -11,26 +11,26 @@
 
 from eelgrass_coordination.ids import DataCentre
 
-from .backends import Backend, ServerLife
+from .backends import Backend, ServerIncarnation
 
-__all__ = ["DataCentreReach"]
+__all__ = ["DataCentreReachability"]
 
 # Two silences within this time belong together: a cut hits them all at once,
 # and a node calls into each data centre several times a second.
 TOGETHER_S = 1.5
 # How long a doubt lasts, at first and at most; cuts last 4 s and more.
-FIRST_DOUBT_S = 1.0
-MAX_DOUBT_S = 4.0
+FIRST_SUSPICION_S = 1.0
+MAX_SUSPICION_S = 4.0
 
 
 class _Place:
     def __init__(self) -> None:
         self.silent_at_by_name: dict[str, float] = {}
         self.doubted_until = float("-inf")
-        self.doubt_s = FIRST_DOUBT_S
+        self.doubt_s = FIRST_SUSPICION_S
 
 
-class DataCentreReach:
+class DataCentreReachability:
     """What one node, in the data centre ``own``, believes of the others.
 
     ``on_silent`` is told of each data centre in which a call went silent.
@@ -40,9 +40,9 @@
         self._own = own
         self._clock = clock
         self._by_data_centre: dict[str, _Place] = {}
-        self.on_silent: Callable[[str], None] = lambda data_centre: None
+        self.on_timeout: Callable[[str], None] = lambda data_centre: None
 
-    def note_silent(self, data_centre: str, name: str) -> None:
+    def record_timeout(self, data_centre: str, name: str) -> None:
         """Note that a server or node there did not answer in time."""
         if data_centre == self._own:
             return
@@ -53,28 +53,30 @@
             at for at in place.silent_at_by_name.values() if now - at < TOGETHER_S
         ]
         # After a doubt that no answer has ended, one silence is enough.
-        needed = 2 if place.doubt_s == FIRST_DOUBT_S else 1
+        needed = 2 if place.doubt_s == FIRST_SUSPICION_S else 1
         if len(recent) >= needed and place.doubted_until <= now:
             place.doubted_until = now + place.doubt_s
-            place.doubt_s = min(MAX_DOUBT_S, place.doubt_s * 2)
-        self.on_silent(data_centre)
+            place.doubt_s = min(MAX_SUSPICION_S, place.doubt_s * 2)
+        self.on_timeout(data_centre)
 
-    def doubt(self, data_centre: str, for_s: float) -> None:
+    def suspect(self, data_centre: str, for_s: float) -> None:
         """Doubt a data centre for so long, unless something there answers."""
         place = self._by_data_centre.setdefault(data_centre, _Place())
         place.doubted_until = max(place.doubted_until, self._clock() + for_s)
 
-    def note_answer(self, data_centre: str) -> None:
+    def record_answer(self, data_centre: str) -> None:
         """Note that a server or node there answered."""
         self._by_data_centre.pop(data_centre, None)
 
-    def in_doubt(self, data_centre: str) -> bool:
+    def is_suspected(self, data_centre: str) -> bool:
         """Return whether a data centre is probably out of reach."""
         place = self._by_data_centre.get(data_centre)
         return place is not None and place.doubted_until > self._clock()
 
-    def sound(
-        self, servers: Sequence[Backend], tried: frozenset[ServerLife] = frozenset()
+    def healthiest(
+        self,
+        servers: Sequence[Backend],
+        tried: frozenset[ServerIncarnation] = frozenset(),
     ) -> Sequence[Backend]:
         """Return the servers to choose from, the most trusted there are.
 
@@ -83,7 +85,9 @@
         than one that probably cannot be reached at all.
         """
         now = self._clock()
-        untried = [server for server in servers if server.entry.life not in tried]
-        in_reach = [s for s in untried if not self.in_doubt(s.entry.data_centre)]
+        untried = [
+            server for server in servers if server.entry.incarnation not in tried
+        ]
+        in_reach = [s for s in untried if not self.is_suspected(s.entry.data_centre)]
         trusted = [server for server in in_reach if server.suspect_until <= now]
         return trusted or in_reach or untried or servers
--- a/packages/node/src/eelgrass_node/process/reach_checks.py
+++ b/packages/node/src/eelgrass_node/process/reachability_checks.py
@@ -15,9 +15,9 @@
 
 from eelgrass_coordination import Member, MemberState, stall_aware_sleep
 
-from .reach import DataCentreReach
+from .reachability import DataCentreReachability
 
-__all__ = ["ReachChecks"]
+__all__ = ["ReachabilityChecks"]
 
 # A probe is answered in two ways between data centres (some ms) and the time for
 # which a busy node is held up (tens of ms).
@@ -31,10 +31,10 @@
 LEAST_PROBED = 2
 # Cuts last some 5 s. After this long calls may try again: the nodes there may be
 # gone for good while its servers are well.
-MAX_DOUBT_S = 8.0
+MAX_SUSPICION_S = 8.0
 
 
-class ReachChecks:
+class ReachabilityChecks:
     """The checks of one node; ``probe`` sends a probe to a member.
 
     ``members`` returns all that are known, and ``own`` is the data centre that
@@ -44,7 +44,7 @@
     def __init__(
         self,
         own: str,
-        reach: DataCentreReach,
+        reach: DataCentreReachability,
         members: Callable[[], list[Member]],
         probe: Callable[[Member], None],
     ) -> None:
@@ -55,10 +55,10 @@
         self._answered: set[str] = set()
         self._running: dict[str, asyncio.Task] = {}
 
-    def note_ack(self, member: Member) -> None:
+    def record_ack(self, member: Member) -> None:
         """Note that a member has answered a probe."""
         self._answered.add(member.data_centre)
-        self._reach.note_answer(member.data_centre)
+        self._reach.record_answer(member.data_centre)
 
     def check(self, data_centre: str) -> None:
         """Begin to check a data centre, unless that is under way."""
@@ -78,8 +78,8 @@
             return
         for other in {member.data_centre for member in self._members()}:
             self.check(other)
-        for _ in range(round(MAX_DOUBT_S / AGAIN_S)):
-            self._reach.doubt(data_centre, 2 * AGAIN_S)
+        for _ in range(round(MAX_SUSPICION_S / AGAIN_S)):
+            self._reach.suspect(data_centre, 2 * AGAIN_S)
             if await self._answers(data_centre, AGAIN_S):
                 return
 
--- a/packages/node/src/eelgrass_node/process/retry_budget.py
+++ b/packages/node/src/eelgrass_node/process/retry_budget.py
@@ -59,11 +59,11 @@
         self._bucket_by_service: dict[str, _Bucket] = {}
         self.sharing_nodes: int | None = None
 
-    def note_requests(self, service: str, count: int = 1) -> None:
+    def record_requests(self, service: str, count: int = 1) -> None:
         """Count requests for a service, or pieces for one that runs stages."""
         now = self._clock()
         bucket = self._refilled(service, now)
-        bucket.note_requests(now, count)
+        bucket.record_requests(now, count)
         bucket.tokens += (1 - SAVED_RATIO_FRACTION) * self._ratio * count
 
     def try_spend(self, service: str, request_id: str) -> bool:
@@ -126,7 +126,7 @@
         self.requested = 0
         self._counts: deque[tuple[float, int]] = deque()
 
-    def note_requests(self, now: float, count: int) -> None:
+    def record_requests(self, now: float, count: int) -> None:
         """Count requests that come now."""
         self._counts.append((now, count))
         self.requested += count
--- a/packages/node/src/eelgrass_node/process/server_choice.py
+++ b/packages/node/src/eelgrass_node/process/server_choice.py
@@ -8,14 +8,14 @@
 from eelgrass_coordination.ids import DataCentre
 
 from ..version.deployment import Deployment, ServiceName
-from .backends import Backend, Backends, ServerLife
-from .placement import place_plain, place_prompt, warm_engine
-from .reach import DataCentreReach
+from .backends import Backend, Backends, ServerIncarnation
+from .placement import copy_source, place_plain, place_prompt
+from .reachability import DataCentreReachability
 
-__all__ = ["ServerChoice", "ServerWish"]
+__all__ = ["ServerChoice", "ServerCriteria"]
 
 
-class ServerWish(msgspec.Struct, frozen=True):
+class ServerCriteria(msgspec.Struct, frozen=True):
     """What a request asks of the server of ``service`` that it goes to.
 
     ``subject`` names the last part of a prompt that others share, and
@@ -26,9 +26,9 @@
     """
 
     service: ServiceName
-    subject: str | None = None
+    prefix_key: str | None = None
     shared_tokens: int = 0
-    tried: frozenset[ServerLife] = frozenset()
+    tried: frozenset[ServerIncarnation] = frozenset()
     inputs_at: str = ""
     regions: frozenset[str] | None = None
 
@@ -40,7 +40,7 @@
         self,
         backends: Backends,
         data_centre: DataCentre,
-        reach: DataCentreReach,
+        reach: DataCentreReachability,
         deployment: Callable[[], Deployment | None],
     ) -> None:
         self._backends = backends
@@ -48,29 +48,29 @@
         self._reach = reach
         self._deployment = deployment
 
-    def choose(self, wish: ServerWish) -> Backend | None:
+    def choose(self, criteria: ServerCriteria) -> Backend | None:
         """Return a server, or None where the service has none in use."""
         now = asyncio.get_running_loop().time()
-        usable = self._backends.usable(wish.service)
-        allowed = [server for server in usable if server.is_in(wish.regions)]
-        servers = self._reach.sound(allowed, wish.tried)
+        usable = self._backends.usable(criteria.service)
+        allowed = [server for server in usable if server.is_in(criteria.regions)]
+        servers = self._reach.healthiest(allowed, criteria.tried)
         if not servers:
             return None
         deployment = self._deployment()
-        known = deployment and deployment.service_by_name.get(wish.service)
+        known = deployment and deployment.service_by_name.get(criteria.service)
         if known and known.model is not None:
             return place_prompt(
                 servers,
-                wish.subject,
-                wish.shared_tokens,
+                criteria.prefix_key,
+                criteria.shared_tokens,
                 self._data_centre,
-                wish.inputs_at,
+                criteria.inputs_at,
                 now,
             )
         return place_plain(servers, self._data_centre, now)
 
-    def warm_engine(
-        self, chosen: Backend, subject: str | None, shared_tokens: int
+    def copy_source(
+        self, chosen: Backend, prefix_key: str | None, shared_tokens: int
     ) -> Backend | None:
         """Return the engine from which the chosen one should copy shared parts.
 
@@ -82,16 +82,16 @@
         if not known or known.model is None:
             return None
         now = asyncio.get_running_loop().time()
-        found = warm_engine(
+        found = copy_source(
             self._backends.by_service.get(service, ()),
             chosen,
-            subject,
+            prefix_key,
             shared_tokens,
             known.model.copy_s(shared_tokens),
             now,
         )
         if found is None or found.suspect_until > now:
             return None
-        if self._reach.in_doubt(found.entry.data_centre):
+        if self._reach.is_suspected(found.entry.data_centre):
             return None
         return found
--- a/packages/node/src/eelgrass_node/process/server_list.py
+++ b/packages/node/src/eelgrass_node/process/server_list.py
@@ -17,14 +17,14 @@
 
 from ..exceptions import ServerEntryMalformed
 from ..log import Part, log
-from .backends import Backends, BackendState, HostEntry, ServerLife
+from .backends import Backends, BackendState, HostEntry, ServerIncarnation
 from .store_tables import StoredRow
 
 __all__ = ["ServerList"]
 
 # Entries that lapsed in an outage are back within about 2 s of its end (the
 # users' letter); the rest is the time in which a read sees them.
-RETURN_S = 2.6
+RELIST_DELAY_S = 2.6
 # Starts that are remembered of servers that are no longer listed; a delayed
 # write comes within seconds, in which a few dozen servers come and go.
 MAX_REMEMBERED = 4096
@@ -67,16 +67,20 @@
             self._missing(server_id)
         self._apply()
 
-    def note_outage_end(self) -> None:
+    def on_outage_end(self) -> None:
         """Note that the store answers again after an outage."""
         self._outage_ended_at = _now()
 
-    def forget(self, life: ServerLife) -> None:
+    def forget(self, incarnation: ServerIncarnation) -> None:
         """Drop a server whose address belongs to another one by now."""
-        entry = self._entry_by_id.get(life.id)
-        if entry is not None and entry.life == life:
-            del self._entry_by_id[life.id]
-            log(Part.HOSTS, "A server was replaced at its address.", backend=life.id)
+        entry = self._entry_by_id.get(incarnation.id)
+        if entry is not None and entry.incarnation == incarnation:
+            del self._entry_by_id[incarnation.id]
+            log(
+                Part.HOSTS,
+                "A server was replaced at its address.",
+                backend=incarnation.id,
+            )
             self._apply()
 
     def _listed(self, server_id: BackendId, value: bytes) -> None:
@@ -100,7 +104,10 @@
         self._remove_at.pop(server_id, None)
         known = self._entry_by_id.get(server_id)
         self._entry_by_id[server_id] = entry
-        if known is None or (known.state, known.life) != (entry.state, entry.life):
+        if known is None or (known.state, known.incarnation) != (
+            entry.state,
+            entry.incarnation,
+        ):
             log(
                 Part.HOSTS,
                 "A server is listed.",
@@ -126,7 +133,7 @@
     def _missing(self, server_id: BackendId) -> None:
         if server_id not in self._entry_by_id or server_id in self._remove_at:
             return
-        wait_s = self._outage_ended_at + RETURN_S - _now()
+        wait_s = self._outage_ended_at + RELIST_DELAY_S - _now()
         if wait_s <= 0:
             self._remove(server_id)
             return
--- a/packages/node/src/eelgrass_node/process/server_use.py
+++ b/packages/node/src/eelgrass_node/process/server_use.py
@@ -41,7 +41,7 @@
             del self._bytes_by_handle[handle]
         return sum(size for _, size in self._bytes_by_handle.values())
 
-    def note_call(self, ratio: float, now: float) -> None:
+    def record_call(self, ratio: float, now: float) -> None:
         """Take in how long a call took against what was expected.
 
         Of a call that was given up, it is how long it took at least.
--- a/packages/node/src/eelgrass_node/process/warm_up/__init__.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/__init__.py
@@ -6,12 +6,12 @@
 """
 
 from .admission import WarmUpAdmission
-from .pace import Pace, WarmUpBounds, WarmUpRates, permitted_per_s
 from .permits import Permit, WarmUpPermits
+from .rate_limit import RateLimiter, WarmUpBounds, WarmUpRates, permitted_per_s
 from .warm_up import WarmUp
 
 __all__ = [
-    "Pace",
+    "RateLimiter",
     "Permit",
     "WarmUp",
     "WarmUpAdmission",
--- a/packages/node/src/eelgrass_node/process/warm_up/admission.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/admission.py
@@ -6,16 +6,16 @@
 
 from ...exceptions import PeerUnreachable
 from ...log import Part, log
-from ..backends import Backend, ServerLife
-from .pace import WarmUpRates
-from .permits import ASK_AGAIN_S, Permit, WarmUpPermits
+from ..backends import Backend, ServerIncarnation
+from .permits import RETRY_AFTER_S, Permit, WarmUpPermits
+from .rate_limit import WarmUpRates
 
 __all__ = ["WarmUpAdmission"]
 
 # Permits that come later than this may arrive in the same second as many after them.
 FRESH_S = 0.3
 
-AskOwner = Callable[[Member, ServerLife, str], Awaitable[Permit]]
+AskOwner = Callable[[Member, ServerIncarnation, str], Awaitable[Permit]]
 
 GRANTED = Permit(True)
 
@@ -51,28 +51,28 @@
         """Return a permit for one request to a server that was chosen."""
         if not self.is_bounded(server):
             return GRANTED
-        permit = await self._ask(server.entry.life, server.entry.service)
+        permit = await self._ask(server.entry.incarnation, server.entry.service)
         self._count("warm-up.permit" if permit.granted else "warm-up.refused")
         return permit
 
-    async def _ask(self, life: ServerLife, service: str) -> Permit:
-        owner = self._permits.owner(life)
+    async def _ask(self, incarnation: ServerIncarnation, service: str) -> Permit:
+        owner = self._permits.owner(incarnation)
         if self._permits.is_own(owner.id):
-            return self._permits.ask(life, service)
+            return self._permits.issue(incarnation, service)
         if owner.state is MemberState.DEAD:
-            return Permit(False, ASK_AGAIN_S)
+            return Permit(False, RETRY_AFTER_S)
         asked_at = self._clock()
         try:
-            permit = await self._ask_owner(owner, life, service)
+            permit = await self._ask_owner(owner, incarnation, service)
         except PeerUnreachable as error:
             log(
                 Part.HOSTS,
                 "No permit for a cold server.",
-                backend=life.id,
+                backend=incarnation.id,
                 owner=owner.id,
                 error=str(error),
             )
-            return Permit(False, ASK_AGAIN_S)
+            return Permit(False, RETRY_AFTER_S)
         if self._clock() - asked_at > FRESH_S:
             return Permit(False)
         return permit
--- a/packages/node/src/eelgrass_node/process/warm_up/permits.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/permits.py
@@ -16,8 +16,8 @@
 from eelgrass_coordination import Member, MemberState, ranked
 from eelgrass_coordination.ids import NodeId
 
-from ..backends import ServerLife
-from .pace import Pace, WarmUpRates
+from ..backends import ServerIncarnation
+from .rate_limit import RateLimiter, WarmUpRates
 
 __all__ = ["Permit", "WarmUpPermits", "owner_of"]
 
@@ -25,7 +25,7 @@
 # before it has let go.
 SETTLE_S = 2.5
 # Permits are asked for again after this where nothing better is known.
-ASK_AGAIN_S = 0.5
+RETRY_AFTER_S = 0.5
 # Servers whose pace is remembered; a pace matters for a second.
 MAX_PACES = 1024
 
@@ -37,10 +37,12 @@
     after_s: float = 0.0
 
 
-def owner_of(life: ServerLife, own: Member, members: Sequence[Member]) -> Member:
+def owner_of(
+    incarnation: ServerIncarnation, own: Member, members: Sequence[Member]
+) -> Member:
     """Return the node that hands out the permits of a server."""
     staying = [m for m in members if m.state is not MemberState.LEFT]
-    key = f"warm-up/{life.id}"
+    key = f"warm-up/{incarnation.id}"
     return ranked([*staying, own], key, name=lambda member: member.id)[0]
 
 
@@ -67,34 +69,36 @@
         self._rates = rates
         self._clock = clock
         self._settled_at = clock() + SETTLE_S
-        self._pace_by_life: dict[ServerLife, Pace] = {}
+        self._pace_by_life: dict[ServerIncarnation, RateLimiter] = {}
 
-    def owner(self, life: ServerLife) -> Member:
+    def owner(self, incarnation: ServerIncarnation) -> Member:
         """Return the node that hands out the permits of a server."""
-        return owner_of(life, self._own(), self._members())
+        return owner_of(incarnation, self._own(), self._members())
 
     def is_own(self, node: NodeId) -> bool:
         """Return whether a node is this one."""
         return node == self._own().id
 
-    def ask(self, life: ServerLife, service: str) -> Permit:
+    def issue(self, incarnation: ServerIncarnation, service: str) -> Permit:
         """Hand out a permit for one request to a cold server of a service."""
         now = self._clock()
         per_s = self._rates.permitted_per_s(service)
         if per_s <= 0 or now < self._settled_at or self._is_alone():
-            return Permit(False, ASK_AGAIN_S)
-        if not self.is_own(self.owner(life).id):
-            return Permit(False, ASK_AGAIN_S)
-        after_s = self._pace(life, per_s, now).take(now)
+            return Permit(False, RETRY_AFTER_S)
+        if not self.is_own(self.owner(incarnation).id):
+            return Permit(False, RETRY_AFTER_S)
+        after_s = self._pace(incarnation, per_s, now).acquire(now)
         return Permit(after_s == 0.0, after_s)
 
     def _is_alone(self) -> bool:
         return bool(self._seeds) and not self._members()
 
-    def _pace(self, life: ServerLife, per_s: float, now: float) -> Pace:
-        pace = self._pace_by_life.get(life)
+    def _pace(
+        self, incarnation: ServerIncarnation, per_s: float, now: float
+    ) -> RateLimiter:
+        pace = self._pace_by_life.get(incarnation)
         if pace is None:
             if len(self._pace_by_life) >= MAX_PACES:
                 del self._pace_by_life[next(iter(self._pace_by_life))]
-            pace = self._pace_by_life[life] = Pace(per_s, now)
+            pace = self._pace_by_life[incarnation] = RateLimiter(per_s, now)
         return pace
--- a/packages/node/src/eelgrass_node/process/warm_up/pace.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/rate_limit.py
@@ -6,7 +6,7 @@
 
 from ...version.deployment import Deployment, ServiceName
 
-__all__ = ["Pace", "WarmUpBounds", "WarmUpRates", "permitted_per_s"]
+__all__ = ["RateLimiter", "WarmUpBounds", "WarmUpRates", "permitted_per_s"]
 
 # Nodes may disagree for a moment on who hands out the permits of a server: after a cut,
 # or while a node joins or leaves.
@@ -25,7 +25,7 @@
     ratio: float = 1.0
     slack: float = 0.0
 
-    def most_per_s(self, per_s: float) -> float:
+    def max_per_s(self, per_s: float) -> float:
         """Return the most requests in a second for a server that bears ``per_s``."""
         return per_s * self.ratio + self.slack
 
@@ -35,7 +35,7 @@
 
     A pace lets one more go than its rate says in any span.
     """
-    most = bounds.most_per_s(per_s) / OWNERS_AT_ONCE - 1
+    most = bounds.max_per_s(per_s) / OWNERS_AT_ONCE - 1
     return max(0.0, min(per_s, most / ARRIVAL_SPREAD_S))
 
 
@@ -62,14 +62,14 @@
         return known.warm_up_per_s if known else 0.0
 
 
-class Pace:
+class RateLimiter:
     """Lets ``per_s`` requests go in a second, evenly; times are in seconds."""
 
     def __init__(self, per_s: float, now: float) -> None:
         self._gap_s = 1 / per_s
         self._next_at = now
 
-    def take(self, now: float) -> float:
+    def acquire(self, now: float) -> float:
         """Let one go and return 0, or return after how long the next one may."""
         if now < self._next_at:
             return self._next_at - now
--- a/packages/node/src/eelgrass_node/process/warm_up/warm_up.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/warm_up.py
@@ -6,8 +6,8 @@
 
 from ...version.deployment import Deployment
 from .admission import AskOwner, WarmUpAdmission
-from .pace import WarmUpBounds, WarmUpRates
 from .permits import WarmUpPermits
+from .rate_limit import WarmUpBounds, WarmUpRates
 
 __all__ = ["WarmUp"]
 
--- a/packages/node/src/eelgrass_node/request/admitted.py
+++ b/packages/node/src/eelgrass_node/request/admitted.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from ..exceptions import RequestRefused
-from ..process.backends import Backend, ServerLife
-from ..process.server_choice import ServerWish
+from ..process.backends import Backend, ServerIncarnation
+from ..process.server_choice import ServerCriteria
 from .serving_parts import ServingParts
 
 __all__ = ["admitted_server"]
@@ -19,24 +19,24 @@
 MIN_RETRY_S = 0.1
 
 
-async def admitted_server(parts: ServingParts, wish: ServerWish) -> Backend:
+async def admitted_server(parts: ServingParts, criteria: ServerCriteria) -> Backend:
     """Return a server that may get the request now.
 
     Raises :class:`RequestRefused` where there is none, or where those that are left are
     cold and get as much as they bear.
     """
-    denied: frozenset[ServerLife] = frozenset()
+    denied: frozenset[ServerIncarnation] = frozenset()
     again_s = COLD_RETRY_S
     while len(denied) < MAX_DENIED:
-        tried = wish.tried | denied
-        server = parts.choose(msgspec.structs.replace(wish, tried=tried))
+        tried = criteria.tried | denied
+        server = parts.choose(msgspec.structs.replace(criteria, tried=tried))
         if server is None:
             raise RequestRefused("no server of the service", NO_SERVER_RETRY_S)
-        if server.entry.life in denied:
+        if server.entry.incarnation in denied:
             break
         permit = await parts.admit(server)
         if permit.granted:
             return server
-        denied |= {server.entry.life}
+        denied |= {server.entry.incarnation}
         again_s = max(MIN_RETRY_S, min(again_s, permit.after_s))
     raise RequestRefused("the servers are warming up", again_s)
--- a/packages/node/src/eelgrass_node/request/fingerprint.py
+++ b/packages/node/src/eelgrass_node/request/fingerprint.py
@@ -6,7 +6,7 @@
 
 from hashlib import blake2b
 
-from ..process.ended_servers import Fingerprint
+from ..process.crash_detector import Fingerprint
 from .arrival import Routed
 
 __all__ = ["fingerprint_of"]
--- a/packages/node/src/eelgrass_node/request/graph.py
+++ b/packages/node/src/eelgrass_node/request/graph.py
@@ -13,9 +13,9 @@
 from eelgrass_coordination.ids import NodeId
 
 from ..exceptions import StagesFailed
-from ..process.backends import ServerLife
+from ..process.backends import ServerIncarnation
 from ..process.batch_items import BatchItem, ItemFailure, ItemOutcome
-from ..process.ended_servers import Fingerprint
+from ..process.crash_detector import Fingerprint
 from ..version.deployment import BatchStage, ServiceName
 from .arrival import Routed
 
@@ -55,7 +55,7 @@
     """
 
     handle: str
-    producer: ServerLife | None
+    producer: ServerIncarnation | None
     owner: NodeId | None
 
 
@@ -73,7 +73,7 @@
         run_items: RunItems,
         free: FreeResults,
         data_centre_of: Callable[[str], str],
-        is_over: Callable[[ServerLife], bool],
+        has_ended: Callable[[ServerIncarnation], bool],
         fingerprint: Fingerprint,
     ) -> None:
         self._fingerprint = fingerprint
@@ -84,7 +84,7 @@
         self._data_centre_of = data_centre_of
         self._done: set[int] = set()
         self.released = False
-        self._is_over = is_over
+        self._is_over = has_ended
         self._result_by_item: dict[tuple[int, int], _Result] = {}
 
     async def run(self) -> tuple[str, ...]:
--- a/packages/node/src/eelgrass_node/request/routed.py
+++ b/packages/node/src/eelgrass_node/request/routed.py
@@ -21,10 +21,10 @@
     StagesFailed,
 )
 from ..log import Part, log
-from ..process.backends import Backend, ServerLife
+from ..process.backends import Backend, ServerIncarnation
 from ..process.batch_items import BatchItem, ItemOutcome
-from ..process.ended_servers import Fingerprint
-from ..process.server_choice import ServerWish
+from ..process.crash_detector import Fingerprint
+from ..process.server_choice import ServerCriteria
 from ..version.deployment import RouteKind, ServiceName
 from .admitted import admitted_server
 from .answering import CallerAnswer
@@ -83,7 +83,7 @@
         self._parts = parts
         self._routed = routed
         self._answer = answer
-        self._tried: frozenset[ServerLife] = frozenset()
+        self._tried: frozenset[ServerIncarnation] = frozenset()
         self._runs = 0
         self._refused_calls = 0
         self._may_have_run = False
@@ -100,13 +100,13 @@
             self._run_items,
             parts.free_results,
             parts.data_centre_of,
-            parts.is_over,
+            parts.has_ended,
             self._fingerprint if routed.route.stages else Fingerprint(""),
         )
 
     async def serve(self) -> web.StreamResponse:
         """Serve the request; raises :class:`CallerGone` where nobody waits."""
-        self._parts.retries.note_requests(self._routed.service)
+        self._parts.retries.record_requests(self._routed.service)
         try:
             async with deadline_timeout(self._routed.deadline):
                 return await self._serve()
@@ -130,14 +130,14 @@
         if self._routed.route.stages:
             self._parts.metrics.record_stages(self._routed.route.name, self._age_s())
         while True:
-            out_of_reach = self._parts.reach.in_doubt(self._inputs_at())
+            out_of_reach = self._parts.reach.is_suspected(self._inputs_at())
             if out_of_reach or self._graph.outdated():
                 # No server could fetch them.
                 self._graph.release()
             if self._graph.released:
                 inputs = await self._run_stages()
             self._check_quarantine()
-            backend = await admitted_server(self._parts, self._wish())
+            backend = await admitted_server(self._parts, self._criteria())
             backend.in_flight += 1
             self._calling = True
             try:
@@ -146,7 +146,7 @@
                 self._calling = False
                 self._note_failure(backend, failed)
                 self._check_again(failed)
-                await self._parts.poison.ended.wait_checked(backend)
+                await self._parts.poison.crash_detector.wait_for_check(backend)
                 if failed.reason is RetryReason.INPUT_GONE:
                     self._graph.release()
             finally:
@@ -177,25 +177,25 @@
     def _check_quarantine(self) -> None:
         """Raise :class:`RequestQuarantined` where no server should get the request."""
         quarantine = self._parts.poison.quarantine
-        if quarantine and quarantine.holds(self._fingerprint):
+        if quarantine and quarantine.is_quarantined(self._fingerprint):
             raise RequestQuarantined(
-                self._fingerprint, quarantine.held_s(self._fingerprint)
+                self._fingerprint, quarantine.remaining_s(self._fingerprint)
             )
 
     def _inputs_at(self) -> str:
         return self._graph.inputs_at(self._routed.route.final_stages())
 
-    def _wish(self) -> ServerWish:
+    def _criteria(self) -> ServerCriteria:
         routed = self._routed
-        subject = routed.arrival.prompt.shared_part()
+        prefix_key = routed.arrival.prompt.shared_part()
         shared_tokens = routed.arrival.prompt.shared_tokens()
         quarantine = self._parts.poison.quarantine
-        if quarantine and quarantine.suspects(self._fingerprint):
+        if quarantine and quarantine.is_suspect(self._fingerprint):
             # Apart from those that lost the same server, so as to tell them apart.
-            subject, shared_tokens = self._fingerprint, 0
-        return ServerWish(
+            prefix_key, shared_tokens = self._fingerprint, 0
+        return ServerCriteria(
             routed.service,
-            subject,
+            prefix_key,
             shared_tokens,
             self._tried,
             self._inputs_at(),
@@ -224,9 +224,9 @@
             if routed.route.stages:
                 took_s = running_time() - self._staged_awake
                 self._parts.final_times.note(routed.route.name, took_s)
-            self._parts.reach.note_answer(backend.entry.data_centre)
+            self._parts.reach.record_answer(backend.entry.data_centre)
             if head.load is not None:
-                backend.note_load(head.load[0], head.load[1])
+                backend.record_load(head.load[0], head.load[1])
             if routed.route.kind is RouteKind.STREAM and head.status < 300:
                 return await self._relay(call, head, backend, began)
             reply = Reply(head, await call.read())
@@ -236,15 +236,15 @@
         if head.status >= SERVER_ERROR and routed.route.repeatable:
             self._last_reply = reply
             raise CallFailed(RetryReason.BACKEND_ERROR, not_run=False)
-        backend.note_call(running_time() - began_awake)
-        backend.note_taken(_now() - began)
+        backend.record_call(running_time() - began_awake)
+        backend.record_success(_now() - began)
         self._log_answered(backend, head)
         return self._answer.whole(reply)
 
     def _copy_from(self, backend: Backend) -> str | None:
         """Return the address of an engine that holds what this one would read."""
         prompt = self._routed.arrival.prompt
-        warm = self._parts.warm_engine(
+        warm = self._parts.copy_source(
             backend, prompt.shared_part(), prompt.shared_tokens()
         )
         return None if warm is None else warm.entry.address
@@ -272,12 +272,12 @@
             await self._answer.write(self._events.feed(data))
         if self._events.partial:
             raise CallFailed(RetryReason.STREAM_CUT, not_run=False)
-        backend.note_taken(_now() - began)
+        backend.record_success(_now() - began)
         self._log_answered(backend, head)
         return await self._answer.end()
 
     def _note_failure(self, backend: Backend, failed: CallFailed) -> None:
-        self._tried |= {backend.entry.life}
+        self._tried |= {backend.entry.incarnation}
         self._events.restart()
         if failed.not_run:
             self._refused_calls += 1
@@ -293,7 +293,9 @@
         if failed.reason is RetryReason.CONNECTION_SILENT:
             backend.connections.replace()
         if failed.reason in SILENCES:
-            self._parts.reach.note_silent(backend.entry.data_centre, backend.entry.id)
+            self._parts.reach.record_timeout(
+                backend.entry.data_centre, backend.entry.id
+            )
         log(
             Part.REQUESTS,
             "A call failed.",
@@ -306,7 +308,9 @@
             events=self._events.events,
         )
         if failed.reason in LOST:
-            self._parts.poison.ended.note_lost(backend, self._fingerprint)
+            self._parts.poison.crash_detector.on_connection_lost(
+                backend, self._fingerprint
+            )
 
     def _check_again(self, failed: CallFailed) -> None:
         """Raise :class:`RequestRefused` where the request may not be repeated."""
@@ -364,7 +368,7 @@
 
     def _log_answered(self, backend: Backend, head: EngineHead) -> None:
         if self._parts.poison.quarantine and head.status < SERVER_ERROR:
-            self._parts.poison.note_success(self._fingerprint)
+            self._parts.poison.record_success(self._fingerprint)
         arrived_at = self._routed.arrival.arrived_at
         self._log_end(
             "Answered.",
--- a/packages/node/src/eelgrass_node/request/serving_parts.py
+++ b/packages/node/src/eelgrass_node/request/serving_parts.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from ..process.backends import Backend, ServerLife
+from ..process.backends import Backend, ServerIncarnation
 from ..process.metrics import Metrics
 from ..process.poison_requests import PoisonRequests
-from ..process.reach import DataCentreReach
+from ..process.reachability import DataCentreReachability
 from ..process.retry_budget import RetryBudgets
-from ..process.server_choice import ServerWish
+from ..process.server_choice import ServerCriteria
 from ..process.warm_up import Permit
 from .arrival import Routed, WireCodec
 from .final_times import FinalTimes
@@ -31,18 +31,18 @@
     """
 
     codec: WireCodec
-    choose: Callable[[ServerWish], Backend | None]
+    choose: Callable[[ServerCriteria], Backend | None]
     admit: Callable[[Backend], Awaitable[Permit]]
-    warm_engine: Callable[[Backend, str | None, int], Backend | None]
+    copy_source: Callable[[Backend, str | None, int], Backend | None]
     data_centre_of: Callable[[str], str]
-    is_over: Callable[[ServerLife], bool]
+    has_ended: Callable[[ServerIncarnation], bool]
     plan: Callable[[Routed], StagePlan]
     refuse_hopeless: Callable[[Routed], float | None]
     run_items: RunItems
     free_results: FreeResults
     final_times: FinalTimes
     retries: RetryBudgets
-    reach: DataCentreReach
+    reach: DataCentreReachability
     server_gone: Callable[[Backend], None]
     server_fails: Callable[[Backend], None]
     poison: PoisonRequests
--- a/packages/node/src/eelgrass_node/request/stage_planner.py
+++ b/packages/node/src/eelgrass_node/request/stage_planner.py
@@ -4,7 +4,7 @@
 
 from ..process.backends import Backend
 from ..process.queue_load import QueueLoads
-from ..process.server_choice import ServerWish
+from ..process.server_choice import ServerCriteria
 from ..version.deployment import Deployment
 from .arrival import Routed
 from .final_times import FinalTimes
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        choose: Callable[[ServerWish], Backend | None],
+        choose: Callable[[ServerCriteria], Backend | None],
         deployment: Callable[[], Deployment | None],
         queue_loads: QueueLoads,
         final_times: FinalTimes,
@@ -32,13 +32,13 @@
     def plan(self, routed: Routed) -> StagePlan:
         """Return when the stages should be done, near the server to be expected."""
         prompt = routed.arrival.prompt
-        wish = ServerWish(
+        criteria = ServerCriteria(
             routed.service,
             prompt.shared_part(),
             prompt.shared_tokens(),
             regions=routed.regions,
         )
-        expected = self._choose(wish)
+        expected = self._choose(criteria)
         near = "" if expected is None else expected.entry.data_centre
         return plan_stages(routed, self._deployment(), near, self._final_s(routed))
 
--- a/packages/node/src/eelgrass_node/request/stages.py
+++ b/packages/node/src/eelgrass_node/request/stages.py
@@ -82,7 +82,7 @@
             finally:
                 self._queue.release(backend)
             if result.outcome is AttemptOutcome.COMPLETED:
-                backend.note_taken()
+                backend.record_success()
                 return StageResult(result.output, result.pieces)
             if result.reason is RetryReason.BACKEND_OVERLOADED:
                 # Back to the queue, where it keeps its place by priority and
@@ -157,9 +157,9 @@
         if not self._stage.idempotent:
             # Nothing is won by giving up early: it may not be repeated.
             return remaining
-        average = self._queue.held_s
+        average = self._queue.service_time_s
         if self._generation is not None:
-            average = self._queue.first_s
+            average = self._queue.first_token_s
         expected = average.upper(SILENCE_DEVIATIONS) * 2
         return min(remaining, max(self._environment.first_byte_floor_s, expected))
 
@@ -176,8 +176,8 @@
         else:
             cost.wasted_ms += result.cost_ms
         if result.outcome is not AttemptOutcome.NOT_RUN:
-            backend.note_call(took_s)
-            self._queue.held_s.record(took_s)
+            backend.record_call(took_s)
+            self._queue.service_time_s.record(took_s)
 
     def _check_retry(self, result: AttemptResult) -> None:
         reason = result.reason or RetryReason.BAD_ANSWER
@@ -213,6 +213,8 @@
     def _new_generation(self, emit: Emit | None) -> Generation | None:
         if self._stage.kind is not StageKind.GENERATE:
             return None
-        expected = self._queue.between_s.upper(SILENCE_DEVIATIONS) * 4
+        expected = self._queue.token_interval_s.upper(SILENCE_DEVIATIONS) * 4
         between_s = max(self._environment.between_floor_s, expected)
-        return Generation(emit, between_s, self._queue.first_s, self._queue.between_s)
+        return Generation(
+            emit, between_s, self._queue.first_token_s, self._queue.token_interval_s
+        )
--- a/packages/node/tests/test_batch_queue.py
+++ b/packages/node/tests/test_batch_queue.py
@@ -7,7 +7,7 @@
 
 from eelgrass_coordination import StallAwareTimeout
 from eelgrass_coordination.ids import BackendId
-from eelgrass_node.process.backends import ServerLife
+from eelgrass_node.process.backends import ServerIncarnation
 from eelgrass_node.process.batch_items import ItemFailure, ItemOutcome
 from eelgrass_node.process.batch_queue import LATE_BACKLOG_S
 from support.batching import LARGE, LIMITS, Service, items, now, server
@@ -93,7 +93,7 @@
         third = asyncio.create_task(service.queue.run(items("third", 3, size=LARGE)))
         await asyncio.sleep(0.1)
         assert not third.done()
-        service.queue.free(ServerLife(BackendId("s1")), held[:3])
+        service.queue.free(ServerIncarnation(BackendId("s1")), held[:3])
         assert len(await third) == 3
 
 
@@ -152,7 +152,7 @@
     async def test_inputs_beyond_a_cut_are_gone_at_once(self):
         service = Service(server("s1"))
         for name in ("x", "y"):
-            service.reach.note_silent("b", name)
+            service.reach.record_timeout("b", name)
         [outcome] = await service.queue.run(items("r", inputs=("h@b",)))
         assert outcome.failure is ItemFailure.INPUT_GONE
         assert service.calls == []
--- a/packages/node/tests/test_ended_servers.py
+++ b/packages/node/tests/test_crash_detector.py
@@ -7,9 +7,9 @@
 
 from eelgrass_coordination.ids import BackendId, DataCentre
 from eelgrass_node.connection.listening import listening_at
-from eelgrass_node.process import ended_servers as ended_servers_module
+from eelgrass_node.process import crash_detector as crash_detector_module
 from eelgrass_node.process.backends import Backends, BackendState, HostEntry
-from eelgrass_node.process.ended_servers import EndedServers, Fingerprint, Listening
+from eelgrass_node.process.crash_detector import CrashDetector, Fingerprint, Listening
 from support.entry import hanging_listener
 
 ONE, TWO = Fingerprint("one"), Fingerprint("two")
@@ -17,7 +17,7 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(ended_servers_module, "AGAIN_S", 0.001)
+    monkeypatch.setattr(crash_detector_module, "AGAIN_S", 0.001)
 
 
 class Server:
@@ -31,7 +31,7 @@
         self.answers = list(answers)
         self.asked = 0
         self.told = []
-        self.ended = EndedServers(
+        self.ended = CrashDetector(
             self.backends,
             self.listening_at,
             lambda life, requests: self.told.append((life, requests)),
@@ -50,7 +50,7 @@
 
     async def lose(self, *requests):
         for request in requests:
-            self.ended.note_lost(self.backend, request)
+            self.ended.on_connection_lost(self.backend, request)
         await asyncio.sleep(0.05)
 
 
@@ -58,7 +58,7 @@
     async def test_all_that_ran_there_is_told_once(self):
         server = Server(Listening.NO)
         await server.lose(ONE, TWO)
-        assert server.told == [(server.backend.entry.life, [ONE, TWO])]
+        assert server.told == [(server.backend.entry.incarnation, [ONE, TWO])]
         assert server.asked == 1
 
     async def test_a_call_that_notices_late_is_told_without_asking(self):
--- a/packages/node/tests/test_crash_table.py
+++ b/packages/node/tests/test_crash_table.py
@@ -9,10 +9,10 @@
 from eelgrass_node.exceptions import StoreUnavailable
 from eelgrass_node.platform.store import RowStore
 from eelgrass_node.process import crash_table as crash_table_module
-from eelgrass_node.process.backends import ServerLife
+from eelgrass_node.process.backends import ServerIncarnation
+from eelgrass_node.process.crash_detector import Fingerprint
 from eelgrass_node.process.crash_table import CrashTable
-from eelgrass_node.process.ended_servers import Fingerprint
-from eelgrass_node.process.quarantine import MAX_ENDED, REMEMBERED_S, Quarantine
+from eelgrass_node.process.quarantine import MAX_CRASHES, RETENTION_S, Quarantine
 from eelgrass_node.process.store_tables import StoredRow
 from eelgrass_standins.row_store import RowStoreStandIn
 from support.clock import Clock
@@ -24,7 +24,7 @@
 
 
 def life(number):
-    return ServerLife(BackendId(f"e{number}"), number)
+    return ServerIncarnation(BackendId(f"e{number}"), number)
 
 
 @pytest.fixture(autouse=True)
@@ -83,37 +83,39 @@
 class TestWriting:
     async def test_ends_that_nodes_see_add_up_at_each(self):
         async with Nodes() as nodes:
-            for number in range(MAX_ENDED):
-                nodes.tables[number % 2].tell_ended(life(number), [POISON])
-            await until(lambda: all(q.holds(POISON) for q in nodes.quarantines))
+            for number in range(MAX_CRASHES):
+                nodes.tables[number % 2].record_crash(life(number), [POISON])
+            await until(
+                lambda: all(q.is_quarantined(POISON) for q in nodes.quarantines)
+            )
 
     async def test_ends_that_are_noticed_together_are_one_call(self):
         async with Nodes() as nodes:
             requests = [Fingerprint(f"request-{number}") for number in range(50)]
-            nodes.tables[0].tell_ended(life(1), requests)
+            nodes.tables[0].record_crash(life(1), requests)
             await until(lambda: len(nodes.quarantines[1]) == 50)
             assert nodes.rows.writes == 1
 
     async def test_what_the_store_does_not_take_is_written_when_it_is_back(self):
         async with Nodes() as nodes:
             nodes.rows.down = True
-            nodes.tables[0].tell_ended(life(1), [POISON])
+            nodes.tables[0].record_crash(life(1), [POISON])
             await until(lambda: nodes.rows.writes > 2)
             nodes.rows.down = False
-            await until(lambda: nodes.quarantines[1].suspects(POISON))
+            await until(lambda: nodes.quarantines[1].is_suspect(POISON))
 
     async def test_rows_of_a_request_that_was_served_are_removed(self):
         async with Nodes() as nodes:
-            nodes.tables[0].tell_ended(life(1), [POISON, OTHER])
-            await until(lambda: nodes.quarantines[1].suspects(POISON))
-            nodes.tables[1].tell_success(POISON, [life(1)])
-            await until(lambda: not nodes.quarantines[0].suspects(POISON))
-            assert all(quarantine.suspects(OTHER) for quarantine in nodes.quarantines)
+            nodes.tables[0].record_crash(life(1), [POISON, OTHER])
+            await until(lambda: nodes.quarantines[1].is_suspect(POISON))
+            nodes.tables[1].remove_crashes(POISON, [life(1)])
+            await until(lambda: not nodes.quarantines[0].is_suspect(POISON))
+            assert all(quarantine.is_suspect(OTHER) for quarantine in nodes.quarantines)
             assert len(nodes.rows.value_by_key) == 1
 
     async def test_nothing_is_written_without_need(self):
         async with Nodes() as nodes:
-            nodes.tables[0].tell_ended(life(1), [POISON])
+            nodes.tables[0].record_crash(life(1), [POISON])
             await until(lambda: nodes.rows.writes == 1)
             await asyncio.sleep(0.1)
             assert nodes.rows.writes == 1
@@ -122,33 +124,37 @@
 class TestBounds:
     async def test_rows_whose_time_is_over_are_removed_with_the_next_write(self):
         async with Nodes() as nodes:
-            nodes.tables[0].tell_ended(life(1), [POISON])
+            nodes.tables[0].record_crash(life(1), [POISON])
             await until(lambda: nodes.rows.value_by_key)
-            nodes.unix_ms += int(REMEMBERED_S * 1000) + 1
-            nodes.tables[1].tell_ended(life(2), [OTHER])
+            nodes.unix_ms += int(RETENTION_S * 1000) + 1
+            nodes.tables[1].record_crash(life(2), [OTHER])
             await until(lambda: len(nodes.rows.value_by_key) == 1)
-            await until(lambda: nodes.quarantines[0].suspects(OTHER))
-            assert not nodes.quarantines[0].suspects(POISON)
+            await until(lambda: nodes.quarantines[0].is_suspect(OTHER))
+            assert not nodes.quarantines[0].is_suspect(POISON)
 
     async def test_too_many_rows_do_not_push_out_what_does_harm(self, monkeypatch):
         """A caller changes its request each time, so as to be taken for a new one."""
         monkeypatch.setattr(crash_table_module, "MAX_ROWS", 10)
         async with Nodes() as nodes:
-            for number in range(MAX_ENDED):
-                nodes.tables[0].tell_ended(life(number), [POISON])
+            for number in range(MAX_CRASHES):
+                nodes.tables[0].record_crash(life(number), [POISON])
             for number in range(30):
                 nodes.unix_ms += 1
-                nodes.tables[1].tell_ended(life(number), [Fingerprint(f"new-{number}")])
+                nodes.tables[1].record_crash(
+                    life(number), [Fingerprint(f"new-{number}")]
+                )
                 await asyncio.sleep(0.01)
             await until(lambda: len(nodes.rows.value_by_key) <= 11)
-            assert all(quarantine.holds(POISON) for quarantine in nodes.quarantines)
+            assert all(
+                quarantine.is_quarantined(POISON) for quarantine in nodes.quarantines
+            )
 
     async def test_what_waits_for_the_store_is_bounded(self, monkeypatch):
         monkeypatch.setattr(crash_table_module, "MAX_PENDING", 10)
         async with Nodes() as nodes:
             nodes.rows.down = True
             for number in range(100):
-                nodes.tables[0].tell_ended(life(number), [POISON])
+                nodes.tables[0].record_crash(life(number), [POISON])
             nodes.rows.down = False
             await until(lambda: len(nodes.rows.value_by_key) == 10)
 
@@ -163,7 +169,7 @@
         return quarantine, CrashTable(quarantine, write, lambda: 10_000_000)
 
     def key(self, server):
-        return crash_table_module._key(POISON, ServerLife(BackendId(server)))
+        return crash_table_module._key(POISON, ServerIncarnation(BackendId(server)))
 
     def row(self, key, **fields):
         end = {"request": POISON, "server": ["e1", 0], "at_ms": 9_999_000, **fields}
@@ -178,22 +184,22 @@
     def test_a_row_from_a_host_whose_clock_is_ahead_counts(self):
         quarantine, table = self.table()
         table.apply_rows((self.row("a", at_ms=20_000_000),))
-        assert quarantine.suspects(POISON)
+        assert quarantine.is_suspect(POISON)
 
     def test_a_whole_read_drops_rows_that_are_gone(self):
         quarantine, table = self.table()
         keys = [self.key("e1"), self.key("e2")]
         table.apply_rows((self.row(keys[0]), self.row(keys[1], server=["e2", 0])))
-        assert len(quarantine.ended_under(POISON)) == 2
+        assert len(quarantine.crashed_servers(POISON)) == 2
         table.apply_snapshot({keys[1]})
-        assert len(quarantine.ended_under(POISON)) == 1
+        assert len(quarantine.crashed_servers(POISON)) == 1
         table.apply_rows((StoredRow(keys[1], 2, None), StoredRow("unknown", 3, None)))
         assert len(quarantine) == 0
 
     def test_a_row_that_is_removed_before_it_was_read_is_forgotten(self):
         """Marks had told of the end; the operator cleared the request at once."""
         quarantine, table = self.table()
-        quarantine.take(POISON, ServerLife(BackendId("e1")))
+        quarantine.record_crash(POISON, ServerIncarnation(BackendId("e1")))
         table.apply_rows((StoredRow(self.key("e1"), 2, None),))
         assert len(quarantine) == 0
 
--- a/packages/node/tests/test_dispatch.py
+++ b/packages/node/tests/test_dispatch.py
@@ -23,7 +23,7 @@
     )
     choose = choice_function(Choice.LEAST_OF_TWO, seed=1)
     queue = ServiceQueue("desk", backends, choose, order_function(order), sheds)
-    queue.held_s.record(0.1)
+    queue.service_time_s.record(0.1)
     return queue
 
 
@@ -119,5 +119,5 @@
         assert asyncio.get_running_loop().time() - began >= 0.004
         assert int(held.window) == 1
         for _ in range(100):
-            held.note_taken()
+            held.record_success()
         assert int(held.window) == 8
--- a/packages/node/tests/test_evacuations.py
+++ b/packages/node/tests/test_evacuations.py
@@ -8,8 +8,12 @@
 from eelgrass_coordination import GossipItem
 from eelgrass_coordination.ids import BackendId, DataCentre
 from eelgrass_node.process.backends import Backends, HostEntry
-from eelgrass_node.process.places import EvacuationNews, Evacuations, Places
-from eelgrass_node.process.places.evacuations import TOLD_S
+from eelgrass_node.process.evacuation import (
+    EvacuationGossip,
+    EvacuationManager,
+    Evacuations,
+)
+from eelgrass_node.process.evacuation.evacuations import GOSSIP_VALID_S
 from eelgrass_node.process.store_tables import StoredRow
 from support.clock import Clock
 from support.evacuated import PREFIX
@@ -40,8 +44,8 @@
         self.complete_to = max(self.complete_to, version)
         self.evacuations.apply_rows([StoredRow(PREFIX + place, version, value)])
 
-    def covers(self, place=NORTH):
-        return self.evacuations.covers(place)
+    def is_evacuated(self, place=NORTH):
+        return self.evacuations.is_evacuated(place)
 
 
 @pytest.fixture
@@ -52,7 +56,7 @@
 class TestReadRows:
     async def test_a_row_empties_and_its_removal_ends_it(self, place):
         place.read(5)
-        assert place.covers()
+        assert place.is_evacuated()
         place.read(7, value=None)
         assert place.seen == [(NORTH, True), (NORTH, False)]
 
@@ -60,10 +64,10 @@
     async def test_an_older_row_changes_nothing(self, place):
         place.read(7)
         place.read(5, value=None)
-        assert place.covers()
+        assert place.is_evacuated()
         place.read(9, value=None)
         place.read(7)
-        assert not place.covers()
+        assert not place.is_evacuated()
 
     async def test_the_same_row_twice_is_one_evacuation(self, place):
         place.read(5)
@@ -76,8 +80,8 @@
         place.read(6, place=SOUTH)
         place.complete_to = 9
         place.evacuations.apply_snapshot({"config", PREFIX + SOUTH})
-        assert not place.covers()
-        assert place.covers(SOUTH)
+        assert not place.is_evacuated()
+        assert place.is_evacuated(SOUTH)
 
     async def test_rows_of_other_kinds_are_left_alone(self, place):
         rows = [StoredRow(key, 5, b"{}") for key in ("config", PREFIX, "evacuated/x")]
@@ -87,20 +91,20 @@
     # Guards against a value that nobody can read and that hides the operator's wish.
     async def test_a_value_that_cannot_be_read_empties_all_the_same(self, place):
         place.read(5, value=b"\xff not json")
-        assert place.covers()
+        assert place.is_evacuated()
 
 
 class TestToldWords:
     async def test_what_others_tell_holds_before_the_store_says_so(self, place):
-        place.evacuations.hear(NORTH, 5, True)
-        assert place.covers()
+        place.evacuations.apply_gossip(NORTH, 5, True)
+        assert place.is_evacuated()
 
     async def test_it_holds_for_as_long_as_the_store_is_out_of_reach(self, place):
         place.reachable = False
-        place.evacuations.hear(NORTH, 5, True)
-        place.clock.now += 100 * TOLD_S
+        place.evacuations.apply_gossip(NORTH, 5, True)
+        place.clock.now += 100 * GOSSIP_VALID_S
         place.evacuations.apply_snapshot(set())
-        assert place.covers()
+        assert place.is_evacuated()
 
     # Guards against a faulty node that shuts a data centre for good.
     def test_it_lapses_where_the_store_does_not_say_so(self):
@@ -108,41 +112,41 @@
             loop = asyncio.get_running_loop()
             place = Place()
             place.evacuations._clock = loop.time
-            place.evacuations.hear(NORTH, 10**12, True)
-            assert place.covers()
-            await asyncio.sleep(TOLD_S + 0.1)
-            assert not place.covers()
+            place.evacuations.apply_gossip(NORTH, 10**12, True)
+            assert place.is_evacuated()
+            await asyncio.sleep(GOSSIP_VALID_S + 0.1)
+            assert not place.is_evacuated()
 
         run_in_simulated_time(main())
 
     async def test_it_yields_to_a_newer_row(self, place):
-        place.evacuations.hear(NORTH, 5, True)
+        place.evacuations.apply_gossip(NORTH, 5, True)
         place.read(6, value=None)
-        assert not place.covers()
+        assert not place.is_evacuated()
 
     async def test_older_words_change_nothing(self, place):
         place.read(8)
-        place.evacuations.hear(NORTH, 6, False)
-        assert place.covers()
+        place.evacuations.apply_gossip(NORTH, 6, False)
+        assert place.is_evacuated()
 
     async def test_a_mark_that_makes_no_sense_is_left_alone(self, place):
-        news = EvacuationNews(place.evacuations, lambda mark: None)
-        news.hear(GossipItem("evacuation", "", 5))
-        news.hear(GossipItem("evacuation", NORTH, -3))
-        news.hear(GossipItem("failing", NORTH, 11))
+        news = EvacuationGossip(place.evacuations, lambda mark: None)
+        news.receive(GossipItem("evacuation", "", 5))
+        news.receive(GossipItem("evacuation", NORTH, -3))
+        news.receive(GossipItem("failing", NORTH, 11))
         assert not place.evacuations.since_by_data_centre
 
     async def test_what_one_node_tells_another_hears(self, place):
         marks = []
-        news = EvacuationNews(place.evacuations, marks.append)
+        news = EvacuationGossip(place.evacuations, marks.append)
         other = Place()
-        hearing = EvacuationNews(other.evacuations, marks.append)
-        news.tell(NORTH, 5, True)
-        hearing.hear(marks[-1])
-        assert other.covers()
-        news.tell(NORTH, 6, False)
-        hearing.hear(marks[-1])
-        assert not other.covers()
+        hearing = EvacuationGossip(other.evacuations, marks.append)
+        news.announce(NORTH, 5, True)
+        hearing.receive(marks[-1])
+        assert other.is_evacuated()
+        news.announce(NORTH, 6, False)
+        hearing.receive(marks[-1])
+        assert not other.is_evacuated()
 
 
 class TestAnyOrder:
@@ -154,11 +158,11 @@
         news = draw.choices(words, k=30)
         for version, is_evacuated in news:
             if draw.random() < 0.5:
-                place.evacuations.hear(NORTH, version, is_evacuated)
+                place.evacuations.apply_gossip(NORTH, version, is_evacuated)
             else:
                 place.read(version, value=b"{}" if is_evacuated else None)
         newest = max(version for version, _ in news)
-        assert place.covers() == dict(words)[newest]
+        assert place.is_evacuated() == dict(words)[newest]
 
 
 def listed(name, data_centre):
@@ -171,7 +175,7 @@
     async def places(self):
         backends = Backends()
         backends.update([listed("n1", "north"), listed("s1", "south")])
-        places = Places(
+        places = EvacuationManager(
             backends,
             PREFIX,
             lambda: 9,
--- a/packages/node/tests/test_failing_servers.py
+++ b/packages/node/tests/test_failure_gossip.py
@@ -9,7 +9,7 @@
 from eelgrass_coordination.ids import BackendId, DataCentre
 from eelgrass_node.process import backends as backends_module
 from eelgrass_node.process.backends import Backends, HostEntry
-from eelgrass_node.process.failing_servers import MARK_KIND, FailingServers
+from eelgrass_node.process.failure_gossip import GOSSIP_KIND, FailureGossip
 
 FIRST_S = 0.04
 
@@ -44,10 +44,10 @@
         """Of an engine that fails half of its requests the others succeed."""
         [backend] = known("e1").by_id.values()
         backend.suspect()
-        backend.note_taken(took_s=0.5)
+        backend.record_success(took_s=0.5)
         assert backend.suspect_until > now()
         await asyncio.sleep(0.01)
-        backend.note_taken(took_s=0.005)
+        backend.record_success(took_s=0.005)
         assert backend.suspect_until <= now()
 
     async def test_successes_in_between_do_not_make_a_failing_server_sound(self):
@@ -57,7 +57,7 @@
             backend.suspect()
             pauses.append(backend.suspect_until - now())
             await asyncio.sleep(pauses[-1] + 0.01)
-            backend.note_taken(took_s=0.001)
+            backend.record_success(took_s=0.001)
         assert pauses[-1] > 6 * pauses[0]
 
     async def test_failures_of_long_ago_are_forgiven(self, monkeypatch):
@@ -77,7 +77,7 @@
         self.backends = [known("grey", "sound") for _ in range(count)]
         self.time_ms = 0
         self.failing = [
-            FailingServers(each, self.announce, self.clock) for each in self.backends
+            FailureGossip(each, self.announce, self.clock) for each in self.backends
         ]
 
     def clock(self):
@@ -86,7 +86,7 @@
 
     def announce(self, mark):
         for failing in self.failing:
-            failing.hear(mark)
+            failing.receive(mark)
         return True
 
 
@@ -107,7 +107,7 @@
                     lost[telling] += 1
                     grey.suspect()
                     if telling:
-                        nodes.failing[at].note_failure(grey)
+                        nodes.failing[at].announce_failure(grey)
                 await asyncio.sleep(0.001)
         assert lost[True] <= lost[False] / 2
 
@@ -117,16 +117,16 @@
         entry = HostEntry(BackendId("grey"), "readers", "g:1", place, started=500)
         nodes.backends[0].update([entry])
         grey = nodes.backends[0].by_id["grey"]
-        nodes.failing[0].hear(GossipItem(MARK_KIND, "grey", 499))
+        nodes.failing[0].receive(GossipItem(GOSSIP_KIND, "grey", 499))
         assert grey.suspect_until == 0.0
-        nodes.failing[0].hear(GossipItem(MARK_KIND, "grey", 501))
+        nodes.failing[0].receive(GossipItem(GOSSIP_KIND, "grey", 501))
         assert grey.suspect_until > now()
 
     async def test_marks_of_other_kinds_and_unknown_servers_are_nothing(self):
         nodes = Nodes(1)
         for mark in (
             GossipItem("leaving", "grey", 1),
-            GossipItem(MARK_KIND, "unknown", 2),
+            GossipItem(GOSSIP_KIND, "unknown", 2),
         ):
-            nodes.failing[0].hear(mark)
+            nodes.failing[0].receive(mark)
         assert nodes.backends[0].by_id["grey"].suspect_until == 0.0
--- a/packages/node/tests/test_owner_checks.py
+++ b/packages/node/tests/test_owner_checks.py
@@ -5,7 +5,7 @@
 from eelgrass_coordination.ids import DataCentre, NodeId
 from eelgrass_node.process.owner_checks import PROBE_AGAIN_S, OwnerChecks
 from eelgrass_node.process.queue_owners import BACKOFF_S, QueueOwners
-from eelgrass_node.process.reach import DataCentreReach
+from eelgrass_node.process.reachability import DataCentreReachability
 from support.members import member
 from support.simulated_time import run_in_simulated_time
 
@@ -18,7 +18,7 @@
     def __init__(self, still_for_s):
         loop = asyncio.get_running_loop()
         self._awake_at = loop.time() + still_for_s
-        reach = DataCentreReach(DataCentre("a"), loop.time)
+        reach = DataCentreReachability(DataCentre("a"), loop.time)
         self.owners = QueueOwners(
             NodeId("n0"), DataCentre("a"), 0.0, lambda: [OWNER], reach, loop.time
         )
--- a/packages/node/tests/test_placement.py
+++ b/packages/node/tests/test_placement.py
@@ -9,10 +9,10 @@
 from eelgrass_node.process.backends import Backend, Backends, HostEntry
 from eelgrass_node.process.placement import (
     SETTLED_S,
+    copy_source,
     hash_order,
     place_plain,
     place_prompt,
-    warm_engine,
 )
 from eelgrass_node.version.deployment import ModelLimits
 
@@ -34,14 +34,14 @@
     async def test_a_busy_engine_passes_its_subject_on(self):
         servers = self.servers()
         first, second = hash_order(servers, "subject")[:2]
-        first.note_load(running=30, waiting=3)
+        first.record_load(running=30, waiting=3)
         now = asyncio.get_running_loop().time()
         at = second.entry.data_centre
         chosen = place_prompt(servers, "subject", 6300, at, "", now)
         assert chosen is not first
 
-    @pytest.mark.parametrize("subject", ["of-many", None])
-    async def test_small_prompts_spread_where_no_load_is_known(self, subject):
+    @pytest.mark.parametrize("prefix_key", ["of-many", None])
+    async def test_small_prompts_spread_where_no_load_is_known(self, prefix_key):
         """82 nodes before 45 engines hear of the load of few (grown sheets).
 
         A short shared part is worth less than the way to another data centre, so
@@ -57,7 +57,7 @@
         ]
         counts = Counter(
             place_prompt(
-                engines, subject and f"{subject}-{n}", 568, "abc"[n % 3], "", 0.0
+                engines, prefix_key and f"{prefix_key}-{n}", 568, "abc"[n % 3], "", 0.0
             ).entry.id
             for n in range(1200)
         )
@@ -94,18 +94,18 @@
 
     def source(self, engines, chosen, tokens=13_300, now=100.0):
         copy_s = self.LIMITS.copy_s(tokens)
-        return warm_engine(engines, chosen, "subject", tokens, copy_s, now)
+        return copy_source(engines, chosen, "subject", tokens, copy_s, now)
 
     def test_a_new_engine_copies_from_the_one_that_had_the_subject(self):
         engines = self.engines()
         first, second = hash_order(engines, "subject")[:2]
-        first.listed_at = 100.0 - SETTLED_S / 2
+        first.first_listed_at = 100.0 - SETTLED_S / 2
         assert self.source(engines, first) is second
 
     def test_one_that_is_settled_holds_its_subjects_itself(self):
         engines = self.engines()
         first = hash_order(engines, "subject")[0]
-        first.listed_at = 100.0 - 2 * SETTLED_S
+        first.first_listed_at = 100.0 - 2 * SETTLED_S
         assert self.source(engines, first) is None
 
     def test_another_engine_copies_what_the_first_one_holds(self):
@@ -116,7 +116,7 @@
     def test_where_all_are_new_nobody_holds_anything(self):
         engines = self.engines()
         for engine in engines:
-            engine.listed_at = 99.0
+            engine.first_listed_at = 99.0
         assert self.source(engines, engines[0]) is None
 
     def test_short_parts_are_read(self):
@@ -136,11 +136,11 @@
         engines = self.engines()
         second = hash_order(engines, "subject")[1]
         copy_s = limits.copy_s(13_300)
-        found = warm_engine(engines, second, "subject", 13_300, copy_s, 100.0)
+        found = copy_source(engines, second, "subject", 13_300, copy_s, 100.0)
         assert found is None
 
     def test_only_servers_that_came_later_are_new(self):
         backends = Backends()
         entries = [engine.entry for engine in self.engines()]
         backends.update(entries[:8])
-        assert all(b.listed_at == float("-inf") for b in backends.by_id.values())
+        assert all(b.first_listed_at == float("-inf") for b in backends.by_id.values())
--- a/packages/node/tests/test_platform_codecs.py
+++ b/packages/node/tests/test_platform_codecs.py
@@ -15,7 +15,7 @@
 from eelgrass_node.platform.configuration import decode_deployment
 from eelgrass_node.platform.servers import decode_server
 from eelgrass_node.platform.settings import load_host_settings
-from eelgrass_node.process.backends import BackendState, ServerLife
+from eelgrass_node.process.backends import BackendState, ServerIncarnation
 from eelgrass_node.process.batch_items import BatchItem, ItemFailure, ItemOutcome
 from eelgrass_node.process.warm_up import WarmUpBounds
 from eelgrass_node.request.arrival import Routed
@@ -102,7 +102,7 @@
         file = tmp_path / "local.yaml"
         file.write_text(SETTINGS)
         warm_up = load_host_settings(file).bounds.warm_up
-        assert warm_up.most_per_s(9.0) == 9.0
+        assert warm_up.max_per_s(9.0) == 9.0
 
     @pytest.mark.parametrize(
         "text", ["a: [", "NodeName: 3", SETTINGS.replace("PortRange", "Ports")]
@@ -193,7 +193,9 @@
 
     def test_the_start_tells_the_life(self):
         found = decode_server(REGIONS, "i-1", server_entry())
-        assert found.life == ServerLife(BackendId("i-1"), 1_769_686_082_000)
+        assert found.incarnation == ServerIncarnation(
+            BackendId("i-1"), 1_769_686_082_000
+        )
         assert decode_server(REGIONS, "i-1", server_entry(born=None)).started == 0
 
     @pytest.mark.parametrize(
--- a/packages/node/tests/test_quarantine.py
+++ b/packages/node/tests/test_quarantine.py
@@ -7,13 +7,13 @@
 from eelgrass_coordination import GossipItem
 from eelgrass_coordination.ids import BackendId
 from eelgrass_node.process import quarantine as quarantine_module
-from eelgrass_node.process.backends import ServerLife
-from eelgrass_node.process.crash_news import ENDED_KIND, SOUND_KIND, CrashNews
-from eelgrass_node.process.ended_servers import Fingerprint
+from eelgrass_node.process.backends import ServerIncarnation
+from eelgrass_node.process.crash_detector import Fingerprint
+from eelgrass_node.process.crash_gossip import CRASH_KIND, SUCCESS_KIND, CrashGossip
 from eelgrass_node.process.quarantine import (
-    MAX_ENDED,
-    REMEMBERED_S,
-    TIE_S,
+    MAX_CRASHES,
+    RETENTION_S,
+    TIE_RETRY_S,
     Quarantine,
 )
 from support.clock import Clock
@@ -23,7 +23,7 @@
 
 
 def life(number, started=0):
-    return ServerLife(BackendId(f"e{number}"), started)
+    return ServerIncarnation(BackendId(f"e{number}"), started)
 
 
 def quarantine_with(ends_by_request):
@@ -32,69 +32,75 @@
     quarantine = Quarantine(clock)
     for request, servers in ends_by_request.items():
         for server in servers:
-            quarantine.take(request, life(server))
+            quarantine.record_crash(request, life(server))
     return quarantine, clock
 
 
 class TestHolds:
     def test_a_request_is_held_after_three_servers(self):
-        quarantine, _ = quarantine_with({POISON: range(MAX_ENDED - 1)})
-        assert quarantine.suspects(POISON) and not quarantine.holds(POISON)
-        quarantine.take(POISON, life(MAX_ENDED))
-        assert quarantine.holds(POISON)
-        assert quarantine.held_s(POISON) == REMEMBERED_S
+        quarantine, _ = quarantine_with({POISON: range(MAX_CRASHES - 1)})
+        assert quarantine.is_suspect(POISON) and not quarantine.is_quarantined(POISON)
+        quarantine.record_crash(POISON, life(MAX_CRASHES))
+        assert quarantine.is_quarantined(POISON)
+        assert quarantine.remaining_s(POISON) == RETENTION_S
 
     def test_one_server_that_is_told_of_twice_counts_once(self):
         quarantine, _ = quarantine_with({POISON: [1] * 5})
-        assert not quarantine.holds(POISON)
+        assert not quarantine.is_quarantined(POISON)
 
     def test_a_server_that_starts_again_under_its_id_is_another_one(self):
         quarantine, _ = quarantine_with({})
-        for started in range(MAX_ENDED):
-            quarantine.take(POISON, life(1, started))
-        assert quarantine.holds(POISON)
+        for started in range(MAX_CRASHES):
+            quarantine.record_crash(POISON, life(1, started))
+        assert quarantine.is_quarantined(POISON)
 
     def test_a_request_that_ran_to_its_end_is_cleared(self):
         """Three servers ended while it happened to run there; it is a proper one."""
         quarantine, _ = quarantine_with({NEIGHBOUR: [1, 2]})
         assert quarantine.clear(NEIGHBOUR) == (life(1), life(2))
-        quarantine.take(NEIGHBOUR, life(3))
-        assert not quarantine.holds(NEIGHBOUR)
+        quarantine.record_crash(NEIGHBOUR, life(3))
+        assert not quarantine.is_quarantined(NEIGHBOUR)
 
     def test_what_was_noted_is_forgotten_in_time(self):
         quarantine, clock = quarantine_with({POISON: [1, 2, 3]})
-        clock.now = REMEMBERED_S - 1
-        assert quarantine.holds(POISON)
-        clock.now = REMEMBERED_S
-        assert not quarantine.suspects(POISON)
+        clock.now = RETENTION_S - 1
+        assert quarantine.is_quarantined(POISON)
+        clock.now = RETENTION_S
+        assert not quarantine.is_suspect(POISON)
         assert len(quarantine) == 0
 
     def test_old_news_counts_from_when_it_happened(self):
         quarantine, clock = quarantine_with({})
-        quarantine.take(POISON, life(1), age_s=REMEMBERED_S)
-        assert not quarantine.suspects(POISON)
-        quarantine.take(POISON, life(1), age_s=REMEMBERED_S - 1)
+        quarantine.record_crash(POISON, life(1), age_s=RETENTION_S)
+        assert not quarantine.is_suspect(POISON)
+        quarantine.record_crash(POISON, life(1), age_s=RETENTION_S - 1)
         clock.now = 1.0
-        assert not quarantine.suspects(POISON)
+        assert not quarantine.is_suspect(POISON)
 
 
 class TestTies:
     def test_tied_requests_may_be_tried_again_for_a_short_time(self):
         quarantine, clock = quarantine_with({POISON: [1, 2, 3], NEIGHBOUR: [1, 2, 3]})
-        assert not quarantine.holds(POISON) and not quarantine.holds(NEIGHBOUR)
-        clock.now = TIE_S
-        assert quarantine.holds(POISON) and quarantine.holds(NEIGHBOUR)
+        assert not quarantine.is_quarantined(POISON) and not quarantine.is_quarantined(
+            NEIGHBOUR
+        )
+        clock.now = TIE_RETRY_S
+        assert quarantine.is_quarantined(POISON) and quarantine.is_quarantined(
+            NEIGHBOUR
+        )
 
     def test_the_one_that_ends_a_fourth_server_explains_the_others(self):
         quarantine, clock = quarantine_with(
             {POISON: [1, 2, 3, 4], NEIGHBOUR: [1, 2, 3]}
         )
-        clock.now = TIE_S
-        assert quarantine.holds(POISON) and not quarantine.holds(NEIGHBOUR)
+        clock.now = TIE_RETRY_S
+        assert quarantine.is_quarantined(POISON) and not quarantine.is_quarantined(
+            NEIGHBOUR
+        )
 
     def test_one_that_shares_two_servers_is_no_rival(self):
         quarantine, _ = quarantine_with({POISON: [1, 2, 3], NEIGHBOUR: [1, 2, 4]})
-        assert quarantine.holds(POISON)
+        assert quarantine.is_quarantined(POISON)
 
 
 class TestServersThatEndTogether:
@@ -109,10 +115,10 @@
         """
         for server in servers:
             for request in [self.POPULAR, *self.others(server, beside)]:
-                quarantine.take(request, life(server))
+                quarantine.record_crash(request, life(server))
         for server in without:
             for request in self.others(server, beside):
-                quarantine.take(request, life(server))
+                quarantine.record_crash(request, life(server))
 
     def others(self, server, beside):
         return [Fingerprint(f"proper-{server}-{number}") for number in range(beside)]
@@ -122,15 +128,15 @@
     def test_a_popular_request_is_not_held(self, count):
         quarantine, clock = quarantine_with({})
         self.lose(quarantine, range(count))
-        assert not quarantine.holds(self.POPULAR)
-        clock.now = REMEMBERED_S - 1
-        assert not quarantine.holds(self.POPULAR)
+        assert not quarantine.is_quarantined(self.POPULAR)
+        clock.now = RETENTION_S - 1
+        assert not quarantine.is_quarantined(self.POPULAR)
 
     def test_nor_is_one_that_another_server_ended_under_before(self):
         quarantine, clock = quarantine_with({self.POPULAR: [99]})
         clock.now = 100.0
         self.lose(quarantine, range(2))
-        assert not quarantine.holds(self.POPULAR)
+        assert not quarantine.is_quarantined(self.POPULAR)
 
     # Guards against a harmful request in copies that passes for an outage.
     def test_one_more_end_at_another_moment_holds_it(self):
@@ -138,26 +144,26 @@
         self.lose(quarantine, range(3))
         clock.now = 3.0
         self.lose(quarantine, [7])
-        assert quarantine.holds(self.POPULAR)
-        assert not any(quarantine.holds(r) for r in self.others(0, 5))
+        assert quarantine.is_quarantined(self.POPULAR)
+        assert not any(quarantine.is_quarantined(r) for r in self.others(0, 5))
 
     # Guards against copies of a harmful request that end servers at one moment.
     def test_where_no_other_server_ended_it_explains_the_ends(self):
         quarantine, _ = quarantine_with({})
         self.lose(quarantine, range(3), without=())
-        assert quarantine.holds(self.POPULAR)
+        assert quarantine.is_quarantined(self.POPULAR)
 
     def test_where_it_ran_alone_it_explains_the_ends(self):
         quarantine, _ = quarantine_with({})
         self.lose(quarantine, range(3), beside=0)
-        assert quarantine.holds(self.POPULAR)
+        assert quarantine.is_quarantined(self.POPULAR)
 
     def test_ends_one_after_the_other_count_each(self):
         quarantine, clock = quarantine_with({})
-        for server in range(MAX_ENDED):
+        for server in range(MAX_CRASHES):
             clock.now += 1.0
             self.lose(quarantine, [server])
-        assert quarantine.holds(self.POPULAR)
+        assert quarantine.is_quarantined(self.POPULAR)
 
 
 class TestBounds:
@@ -167,17 +173,17 @@
         quarantine, clock = quarantine_with({POISON: [1, 2, 3]})
         for number in range(100):
             clock.now += 1.0
-            quarantine.take(Fingerprint(f"new-{number}"), life(10 + number))
+            quarantine.record_crash(Fingerprint(f"new-{number}"), life(10 + number))
         assert len(quarantine) == 8
-        assert quarantine.holds(POISON)
-        assert quarantine.suspects(Fingerprint("new-99"))
+        assert quarantine.is_quarantined(POISON)
+        assert quarantine.is_suspect(Fingerprint("new-99"))
 
     def test_dropped_ends_leave_nothing(self):
         quarantine, _ = quarantine_with({POISON: [1, 2]})
         for number in (1, 2, 2, 3):
-            quarantine.drop(POISON, life(number))
+            quarantine.remove_crash(POISON, life(number))
         assert len(quarantine) == 0
-        quarantine.take(NEIGHBOUR, life(1))
+        quarantine.record_crash(NEIGHBOUR, life(1))
         quarantine.clear(NEIGHBOUR)
         assert len(quarantine) == 0
 
@@ -187,27 +193,33 @@
 
     def __init__(self, count):
         self.quarantines = [Quarantine(Clock()) for _ in range(count)]
-        self.news = [CrashNews(q, self.announce, lambda: 1) for q in self.quarantines]
+        self.news = [CrashGossip(q, self.announce, lambda: 1) for q in self.quarantines]
 
     def announce(self, marks):
         for news in self.news:
             for mark in marks:
-                news.hear(mark)
+                news.receive(mark)
 
 
 class TestNews:
     def test_all_nodes_know_what_each_has_seen(self):
         fleet = Fleet(4)
-        for number, news in enumerate(fleet.news[:MAX_ENDED]):
-            news.tell_ended(ServerLife(BackendId("an id: x/1"), number), [POISON])
-        assert all(quarantine.holds(POISON) for quarantine in fleet.quarantines)
-        fleet.news[0].tell_success(POISON)
-        assert not any(quarantine.suspects(POISON) for quarantine in fleet.quarantines)
+        for number, news in enumerate(fleet.news[:MAX_CRASHES]):
+            news.announce_crash(
+                ServerIncarnation(BackendId("an id: x/1"), number), [POISON]
+            )
+        assert all(
+            quarantine.is_quarantined(POISON) for quarantine in fleet.quarantines
+        )
+        fleet.news[0].announce_success(POISON)
+        assert not any(
+            quarantine.is_suspect(POISON) for quarantine in fleet.quarantines
+        )
 
     @pytest.mark.parametrize("name", ["", "x", "x y z", "x 1"])
     def test_marks_that_cannot_be_read_are_nothing(self, name):
         fleet = Fleet(1)
-        for kind in (ENDED_KIND, SOUND_KIND, "failing"):
+        for kind in (CRASH_KIND, SUCCESS_KIND, "failing"):
             fleet.announce([GossipItem(kind, name, 1)])
         assert len(fleet.quarantines[0]) == 0
 
@@ -226,17 +238,17 @@
         waiting = [Fingerprint(f"proper-{number}") for number in range(self.BESIDE)]
         ended = 0
         refused = set()
-        while ended < 3 * MAX_ENDED and not quarantine.holds(POISON):
+        while ended < 3 * MAX_CRASHES and not quarantine.is_quarantined(POISON):
             clock.now += draw.uniform(0.1, 3.0)
             place_of = {r: draw.randrange(self.ENGINES) for r in [POISON, *waiting]}
             broken = place_of[POISON]
             for request, place in place_of.items():
                 if place == broken:
-                    quarantine.take(request, life(ended))
+                    quarantine.record_crash(request, life(ended))
                 else:
                     quarantine.clear(request)
             ended += 1
-            refused |= {r for r in waiting if quarantine.holds(r)}
+            refused |= {r for r in waiting if quarantine.is_quarantined(r)}
             # Those that were served leave, and others come.
             waiting = [
                 r
@@ -248,5 +260,5 @@
 
     def test_few_engines_end_and_hardly_a_proper_request_is_held(self):
         days = [self.day(seed) for seed in range(500)]
-        assert max(ended for ended, _ in days) <= MAX_ENDED + 1
+        assert max(ended for ended, _ in days) <= MAX_CRASHES + 1
         assert sum(refused for _, refused in days) <= len(days) / 20
--- a/packages/node/tests/test_quarantine_model.py
+++ b/packages/node/tests/test_quarantine_model.py
@@ -10,23 +10,23 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from eelgrass_coordination.ids import BackendId
-from eelgrass_node.process.backends import ServerLife
-from eelgrass_node.process.ended_servers import Fingerprint
+from eelgrass_node.process.backends import ServerIncarnation
+from eelgrass_node.process.crash_detector import Fingerprint
 from eelgrass_node.process.quarantine import (
-    MAX_ENDED,
-    MIN_BESIDE,
-    REMEMBERED_S,
-    TIE_S,
-    TOGETHER_S,
+    MAX_CRASHES,
+    MIN_NEIGHBOURS,
+    RETENTION_S,
+    SAME_CAUSE_S,
+    TIE_RETRY_S,
     Quarantine,
 )
 from support.clock import Clock
 
 REQUESTS = [Fingerprint(name) for name in "abc"]
-LIVES = [ServerLife(BackendId(f"e{number}")) for number in range(6)]
+LIVES = [ServerIncarnation(BackendId(f"e{number}")) for number in range(6)]
 requests = st.sampled_from(REQUESTS)
 lives = st.sampled_from(LIVES)
-PAUSES_S = [0.1, TOGETHER_S, 0.5, TIE_S, 60.0, REMEMBERED_S / 2]
+PAUSES_S = [0.1, SAME_CAUSE_S, 0.5, TIE_RETRY_S, 60.0, RETENTION_S / 2]
 FRESH_DRAWS = "EELGRASS_FRESH_DRAWS" in os.environ
 
 
@@ -43,12 +43,12 @@
     def end(self, running, life):
         """End a server under all requests that it runs."""
         for request in sorted(running):
-            self.quarantine.take(request, life)
+            self.quarantine.record_crash(request, life)
             self.ended_at.setdefault((request, life), self.clock.now)
 
     @rule(request=requests, life=lives)
     def drop(self, request, life):
-        self.quarantine.drop(request, life)
+        self.quarantine.remove_crash(request, life)
         self.ended_at.pop((request, life), None)
         self.forget_old()
 
@@ -59,7 +59,9 @@
             self.ended_at.pop((request, life), None)
 
     @rule(
-        passed_s=st.sampled_from([0.1, TOGETHER_S, 0.5, TIE_S, 60.0, REMEMBERED_S / 2])
+        passed_s=st.sampled_from(
+            [0.1, SAME_CAUSE_S, 0.5, TIE_RETRY_S, 60.0, RETENTION_S / 2]
+        )
     )
     def wait(self, passed_s):
         self.clock.now += passed_s
@@ -67,16 +69,16 @@
 
     def forget_old(self):
         for request in REQUESTS:
-            if self.last_at(request) <= self.clock.now - REMEMBERED_S:
+            if self.last_at(request) <= self.clock.now - RETENTION_S:
                 self.succeed(request)
 
     @invariant()
     def agrees(self):
         for request in REQUESTS:
             ended = self.lives_of(request)
-            assert set(self.quarantine.ended_under(request)) == ended
-            assert self.quarantine.suspects(request) == bool(ended)
-            assert self.quarantine.holds(request) == self.is_held(request)
+            assert set(self.quarantine.crashed_servers(request)) == ended
+            assert self.quarantine.is_suspect(request) == bool(ended)
+            assert self.quarantine.is_quarantined(request) == self.is_held(request)
         known = {request for request, _ in self.ended_at}
         assert len(self.quarantine) == len(known)
 
@@ -101,7 +103,7 @@
         shared = {
             life
             for life in ended
-            if sum((r, life) in self.ended_at for r in speaking) >= MIN_BESIDE
+            if sum((r, life) in self.ended_at for r in speaking) >= MIN_NEIGHBOURS
         }
         left = sorted(ended, key=lambda life: self.ended_at[request, life])
         count = 0
@@ -110,7 +112,7 @@
             moment = [
                 life
                 for life in left
-                if self.ended_at[request, life] - first_at <= TOGETHER_S
+                if self.ended_at[request, life] - first_at <= SAME_CAUSE_S
             ]
             together = shared.issuperset(moment) and self.others_ended(ended, first_at)
             count += 1 if together else len(moment)
@@ -120,25 +122,25 @@
     def others_ended(self, lives, at):
         """Say whether a server ended at a moment that is not one of some."""
         return any(
-            abs(ended_at - at) <= TOGETHER_S
+            abs(ended_at - at) <= SAME_CAUSE_S
             for (_, life), ended_at in self.ended_at.items()
             if life not in lives
         )
 
     def is_held(self, request):
         ended = self.lives_of(request)
-        if len(ended) < MAX_ENDED:
+        if len(ended) < MAX_CRASHES:
             return False
         moments = self.moments_of(request)
-        if len(ended) > MAX_ENDED:
+        if len(ended) > MAX_CRASHES:
             return moments > 1
-        if moments < MAX_ENDED:
+        if moments < MAX_CRASHES:
             return False
         others = [self.lives_of(r) for r in REQUESTS if r != request]
         rivals = [lives for lives in others if lives >= ended]
-        if any(len(lives) > MAX_ENDED for lives in rivals):
+        if any(len(lives) > MAX_CRASHES for lives in rivals):
             return False
-        return not rivals or self.clock.now - self.last_at(request) >= TIE_S
+        return not rivals or self.clock.now - self.last_at(request) >= TIE_RETRY_S
 
 
 TestQuarantineModel = QuarantineMachine.TestCase
@@ -157,9 +159,9 @@
         machine = QuarantineMachine()
         request, (older, newer) = REQUESTS[0], LIVES[:2]
         machine.end({request}, older)
-        machine.wait(REMEMBERED_S / 2)
+        machine.wait(RETENTION_S / 2)
         machine.end({request}, newer)
-        machine.wait(REMEMBERED_S / 2)
+        machine.wait(RETENTION_S / 2)
         machine.drop(request, newer)
         machine.agrees()
-        assert not machine.quarantine.suspects(request)
+        assert not machine.quarantine.is_suspect(request)
--- a/packages/node/tests/test_reach_checks.py
+++ b/packages/node/tests/test_reachability_checks.py
@@ -5,9 +5,9 @@
 import pytest
 
 from eelgrass_coordination.ids import DataCentre
-from eelgrass_node.process import reach_checks
-from eelgrass_node.process.reach import FIRST_DOUBT_S, DataCentreReach
-from eelgrass_node.process.reach_checks import ReachChecks
+from eelgrass_node.process import reachability_checks
+from eelgrass_node.process.reachability import FIRST_SUSPICION_S, DataCentreReachability
+from eelgrass_node.process.reachability_checks import ReachabilityChecks
 from support.members import member
 
 NODES = {"a": ("a1", "a2"), "b": ("b1", "b2", "b3"), "c": ("c1", "c2"), "d": ("d1",)}
@@ -21,45 +21,47 @@
         self.probed = []
         self.members = [member(n, dc) for dc, names in NODES.items() for n in names]
         loop = asyncio.get_running_loop()
-        self.reach = DataCentreReach(DataCentre("a"), loop.time)
-        self.checks = ReachChecks("a", self.reach, lambda: self.members, self.probe)
-        self.reach.on_silent = self.checks.check
+        self.reach = DataCentreReachability(DataCentre("a"), loop.time)
+        self.checks = ReachabilityChecks(
+            "a", self.reach, lambda: self.members, self.probe
+        )
+        self.reach.on_timeout = self.checks.check
 
     def probe(self, to):
         self.probed.append(to.id)
         if to.data_centre not in self.cut:
-            asyncio.get_running_loop().call_soon(self.checks.note_ack, to)
+            asyncio.get_running_loop().call_soon(self.checks.record_ack, to)
 
     def doubted(self):
-        return {dc for dc in NODES if self.reach.in_doubt(dc)}
+        return {dc for dc in NODES if self.reach.is_suspected(dc)}
 
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(reach_checks, "ANSWER_S", 0.02)
-    monkeypatch.setattr(reach_checks, "AGAIN_S", 0.03)
+    monkeypatch.setattr(reachability_checks, "ANSWER_S", 0.02)
+    monkeypatch.setattr(reachability_checks, "AGAIN_S", 0.03)
 
 
 class TestReachChecks:
     async def test_one_silent_call_says_nothing_where_nodes_answer(self):
         network = Network()
-        network.reach.note_silent("b", "server")
+        network.reach.record_timeout("b", "server")
         await asyncio.sleep(0.1)
         assert network.doubted() == set()
-        assert len(network.probed) <= reach_checks.MOST_PROBED
+        assert len(network.probed) <= reachability_checks.MOST_PROBED
 
     async def test_one_silent_call_is_enough_where_no_node_answers(self):
         """Each call that found out for itself took up to a second and a try."""
         network = Network()
         network.cut = {"b"}
-        network.reach.note_silent("b", "server")
+        network.reach.record_timeout("b", "server")
         await asyncio.sleep(0.03)
         assert network.doubted() == {"b"}
 
     async def test_a_node_that_is_cut_off_itself_doubts_all_others(self):
         network = Network()
         network.cut = {"b", "c", "d"}
-        network.reach.note_silent("b", "server")
+        network.reach.record_timeout("b", "server")
         await asyncio.sleep(0.05)
         assert network.doubted() >= {"b", "c"}
 
@@ -67,7 +69,7 @@
         """A doubt that ended by its time cost the same silent calls again."""
         network = Network()
         network.cut = {"b"}
-        network.reach.note_silent("b", "server")
+        network.reach.record_timeout("b", "server")
         for _ in range(20):
             await asyncio.sleep(0.03)
             assert network.doubted() == {"b"}
@@ -82,19 +84,19 @@
         """It may be down or suspended while the servers beside it are well."""
         network = Network()
         network.cut = {"d"}
-        network.reach.note_silent("d", "server")
+        network.reach.record_timeout("d", "server")
         await asyncio.sleep(0.1)
         assert network.doubted() == set()
-        network.reach.note_silent("d", "another")
+        network.reach.record_timeout("d", "another")
         assert network.doubted() == {"d"}
-        assert FIRST_DOUBT_S < 2.0
+        assert FIRST_SUSPICION_S < 2.0
 
     async def test_servers_are_tried_again_where_the_nodes_stay_away(self, monkeypatch):
         """The nodes of a data centre may be gone for good, and its servers not."""
-        monkeypatch.setattr(reach_checks, "MAX_DOUBT_S", 0.15)
+        monkeypatch.setattr(reachability_checks, "MAX_SUSPICION_S", 0.15)
         network = Network()
         network.cut = {"b"}
-        network.reach.note_silent("b", "server")
+        network.reach.record_timeout("b", "server")
         await asyncio.sleep(0.4)
         assert network.doubted() == set()
 
--- a/packages/node/tests/test_retry_budgets.py
+++ b/packages/node/tests/test_retry_budgets.py
@@ -22,7 +22,7 @@
         budgets.sharing_nodes = nodes
         for number in range(1, requests + 1):
             clock.now = WINDOW_S * number / requests
-            budgets.note_requests("s")
+            budgets.record_requests("s")
         return budgets, clock
 
     def spend_all(self, budgets):
@@ -37,14 +37,14 @@
 
     def test_only_a_part_of_a_window_is_saved_up(self):
         budgets, clock = self.budgets()
-        budgets.note_requests("s", 1000)
+        budgets.record_requests("s", 1000)
         clock.now += 2 * WINDOW_S
         assert self.spend_all(budgets) <= SAVED_SLACK_FRACTION * 56 / HOSTS
 
     def test_it_comes_back_with_requests(self):
         budgets, _ = self.budgets()
         self.spend_all(budgets)
-        budgets.note_requests("s", 20)
+        budgets.record_requests("s", 20)
         assert budgets.try_spend("s", "a request")
 
     def test_it_comes_back_with_time(self):
--- a/packages/node/tests/test_server_lives.py
+++ b/packages/node/tests/test_server_lives.py
@@ -11,16 +11,16 @@
 from eelgrass_coordination.ids import BackendId, DataCentre
 from eelgrass_node.exceptions import CallFailed
 from eelgrass_node.platform import requests
-from eelgrass_node.process.backends import Backends, HostEntry, ServerLife
+from eelgrass_node.process.backends import Backends, HostEntry, ServerIncarnation
 from eelgrass_node.process.batch_items import BatchItem, ItemFailure, ItemOutcome
-from eelgrass_node.process.ended_servers import Fingerprint
+from eelgrass_node.process.crash_detector import Fingerprint
 from eelgrass_node.request.exchange import EngineCall
 from eelgrass_node.request.graph import StageGraph, StagePlan
 from eelgrass_node.version.deployment import BatchStage, ServiceName
 from support.batching import Service, items, routed, server
 from support.connections import listen
 
-FIRST, SECOND = (ServerLife(BackendId("s1"), started) for started in (5, 9))
+FIRST, SECOND = (ServerIncarnation(BackendId("s1"), started) for started in (5, 9))
 
 
 class Lives:
@@ -36,7 +36,7 @@
         self.made.append((service, given[0].stage, life, given[0].inputs))
         return [ItemOutcome(handle=f"s1/{p.number}", producer=life) for p in given]
 
-    def is_over(self, life):
+    def has_ended(self, life):
         return life.started < self.current.started
 
     def graph(self):
@@ -51,7 +51,7 @@
             self.run,
             lambda service, handles, owner: self.freed.extend(handles),
             lambda handle: "a",
-            self.is_over,
+            self.has_ended,
             Fingerprint("a request"),
         )
 
@@ -108,7 +108,7 @@
     async def test_a_result_tells_which_life_holds_it(self):
         service = Service(server("s1"))
         [outcome] = await service.queue.run(items("r"))
-        assert outcome.producer == service.servers[0].entry.life
+        assert outcome.producer == service.servers[0].entry.incarnation
 
     async def test_the_use_of_one_life_is_not_that_of_the_next(self):
         backends = Backends()
--- a/packages/node/tests/test_serving_parts.py
+++ b/packages/node/tests/test_serving_parts.py
@@ -6,9 +6,9 @@
 from eelgrass_coordination.ids import BackendId, DataCentre, NodeId
 from eelgrass_node.process.backends import Backend, HostEntry
 from eelgrass_node.process.batch_items import ItemFailure, ItemOutcome
-from eelgrass_node.process.ended_servers import Fingerprint
+from eelgrass_node.process.crash_detector import Fingerprint
 from eelgrass_node.process.queue_owners import BACKOFF_S, QueueOwners
-from eelgrass_node.process.reach import FIRST_DOUBT_S, DataCentreReach
+from eelgrass_node.process.reachability import FIRST_SUSPICION_S, DataCentreReachability
 from eelgrass_node.request.events import EventSplitter
 from eelgrass_node.request.graph import StageGraph
 from eelgrass_node.request.planning import (
@@ -74,37 +74,37 @@
 class TestReach:
     def reach(self):
         clock = Clock()
-        return DataCentreReach(DataCentre("a"), clock), clock
+        return DataCentreReachability(DataCentre("a"), clock), clock
 
     def test_one_silence_is_not_enough_at_first(self):
         reach, clock = self.reach()
-        reach.note_silent("b", "x")
-        reach.note_silent("b", "x")
-        assert not reach.in_doubt("b")
-        reach.note_silent("b", "y")
-        assert reach.in_doubt("b")
+        reach.record_timeout("b", "x")
+        reach.record_timeout("b", "x")
+        assert not reach.is_suspected("b")
+        reach.record_timeout("b", "y")
+        assert reach.is_suspected("b")
 
     def test_an_answer_ends_the_doubt(self):
         reach, clock = self.reach()
         for name in "xy":
-            reach.note_silent("b", name)
-        reach.note_answer("b")
-        assert not reach.in_doubt("b")
+            reach.record_timeout("b", name)
+        reach.record_answer("b")
+        assert not reach.is_suspected("b")
 
     def test_a_doubt_without_answer_returns_at_the_first_silence(self):
         reach, clock = self.reach()
         for name in "xy":
-            reach.note_silent("b", name)
-        clock.now = FIRST_DOUBT_S + 2.0
-        assert not reach.in_doubt("b")
-        reach.note_silent("b", "z")
-        assert reach.in_doubt("b")
+            reach.record_timeout("b", name)
+        clock.now = FIRST_SUSPICION_S + 2.0
+        assert not reach.is_suspected("b")
+        reach.record_timeout("b", "z")
+        assert reach.is_suspected("b")
 
     def test_the_own_data_centre_is_never_in_doubt(self):
         reach, _ = self.reach()
         for name in "xyz":
-            reach.note_silent("a", name)
-        assert not reach.in_doubt("a")
+            reach.record_timeout("a", name)
+        assert not reach.is_suspected("a")
 
     def test_a_suspect_within_reach_is_better_than_one_beyond_a_cut(self):
         reach, clock = self.reach()
@@ -112,10 +112,10 @@
             Backend(HostEntry(BackendId(n), "s", f"{n}:1", DataCentre(n))) for n in "ab"
         )
         near.suspect_until = clock.now + 1.0
-        assert reach.sound([near, far]) == [far]
+        assert reach.healthiest([near, far]) == [far]
         for name in "xy":
-            reach.note_silent("b", name)
-        assert reach.sound([near, far]) == [near]
+            reach.record_timeout("b", name)
+        assert reach.healthiest([near, far]) == [near]
 
 
 class TestOwners:
@@ -125,7 +125,7 @@
 
     def owners(self, own, data_centre):
         others = [m for m in self.members if m.id != own]
-        reach = DataCentreReach(DataCentre(data_centre), self.clock)
+        reach = DataCentreReachability(DataCentre(data_centre), self.clock)
         return QueueOwners(
             NodeId(own),
             DataCentre(data_centre),
--- a/packages/node/tests/test_store_following.py
+++ b/packages/node/tests/test_store_following.py
@@ -161,7 +161,7 @@
 class TestServerList:
     @pytest.fixture(autouse=True)
     def short_return(self, monkeypatch):
-        monkeypatch.setattr(server_list_module, "RETURN_S", 0.2)
+        monkeypatch.setattr(server_list_module, "RELIST_DELAY_S", 0.2)
 
     def listing(self, *keys):
         self.left = []
@@ -187,7 +187,7 @@
 
     async def test_entries_that_lapsed_in_an_outage_may_come_back(self):
         servers = self.listing("i1", "i2")
-        servers.note_outage_end()
+        servers.on_outage_end()
         servers.apply_snapshot({"i2"})
         assert self.usable() == {"i1", "i2"}
         servers.apply_rows((row("i1", 3, b"{}"),))
@@ -196,13 +196,13 @@
 
     async def test_also_where_the_feed_tells_of_them(self):
         servers = self.listing("i1", "i2")
-        servers.note_outage_end()
+        servers.on_outage_end()
         servers.apply_rows((row("i1", 2, None),))
         assert self.usable() == {"i1", "i2"}
 
     async def test_one_still_missing_then_is_gone(self):
         servers = self.listing("i1", "i2")
-        servers.note_outage_end()
+        servers.on_outage_end()
         servers.apply_snapshot({"i2"})
         await asyncio.sleep(0.3)
         assert self.usable() == {"i2"}
@@ -223,13 +223,13 @@
         servers.apply_rows((row("i1", 2, b'{"started": 5}'),))
         [earlier] = self.backends.usable("s")
         earlier.suspect()
-        earlier.note_load(60, 9)
+        earlier.record_load(60, 9)
         servers.apply_rows((row("i1", 3, b'{"started": 9}'),))
         [later] = self.backends.usable("s")
         assert later is not earlier and later.entry.started == 9
         assert later.suspect_until == 0.0 and later.load_at(0.0) == (0, 0)
-        assert self.backends.is_over(earlier.entry.life)
-        assert not self.backends.is_over(later.entry.life)
+        assert self.backends.has_ended(earlier.entry.incarnation)
+        assert not self.backends.has_ended(later.entry.incarnation)
 
     async def test_a_life_that_left_does_not_hold_back_the_next_one(self):
         servers = self.listing("i1")
@@ -260,9 +260,9 @@
         servers.apply_rows((row("i1", 2, b'{"started": 5}'),))
         [earlier] = self.backends.usable("s")
         servers.apply_rows((row("i1", 3, b'{"started": 9}'),))
-        servers.forget(earlier.entry.life)
+        servers.forget(earlier.entry.incarnation)
         assert self.usable() == {"i1"}
-        servers.forget(self.backends.usable("s")[0].entry.life)
+        servers.forget(self.backends.usable("s")[0].entry.incarnation)
         assert self.usable() == set()
 
     async def test_starts_of_servers_that_are_gone_are_not_kept_for_ever(
--- a/packages/node/tests/test_warm_up.py
+++ b/packages/node/tests/test_warm_up.py
@@ -9,9 +9,9 @@
 from eelgrass_coordination import Member, MemberState
 from eelgrass_coordination.ids import BackendId, DataCentre, NodeId
 from eelgrass_node.exceptions import PeerUnreachable
-from eelgrass_node.process.backends import Backend, HostEntry, ServerLife
+from eelgrass_node.process.backends import Backend, HostEntry, ServerIncarnation
 from eelgrass_node.process.warm_up import (
-    Pace,
+    RateLimiter,
     WarmUpAdmission,
     WarmUpBounds,
     WarmUpPermits,
@@ -27,7 +27,7 @@
 PER_S = 9.1
 BOUNDS = WarmUpBounds(ratio=1.5, slack=5.0)
 MOST_PER_S = 9.1 * 1.5 + 5.0
-LIFE = ServerLife(BackendId("e1"), 1)
+LIFE = ServerIncarnation(BackendId("e1"), 1)
 
 
 def member(number, state=MemberState.ALIVE):
@@ -66,15 +66,15 @@
 
 class TestPace:
     def test_it_lets_go_evenly(self):
-        pace = Pace(per_s=4.0, now=0.0)
-        gone = [t / 100 for t in range(300) if pace.take(t / 100) == 0.0]
+        pace = RateLimiter(per_s=4.0, now=0.0)
+        gone = [t / 100 for t in range(300) if pace.acquire(t / 100) == 0.0]
         assert most_in_a_second(gone) <= 5
         assert len(gone) == 12
 
     def test_it_tells_when_the_next_may_go(self):
-        pace = Pace(per_s=4.0, now=0.0)
-        assert pace.take(0.0) == 0.0
-        assert pace.take(0.1) == pytest.approx(0.15)
+        pace = RateLimiter(per_s=4.0, now=0.0)
+        assert pace.acquire(0.0) == 0.0
+        assert pace.acquire(0.1) == pytest.approx(0.15)
 
     @given(
         per_s=st.floats(0.0, 500.0),
@@ -87,7 +87,7 @@
         permitted = permitted_per_s(per_s, bounds)
         # Each lets one more go than its rate, and some arrive together.
         arriving = 2 * (permitted * 1.35 + 1) if permitted else 0.0
-        assert arriving <= bounds.most_per_s(per_s) + 1e-6
+        assert arriving <= bounds.max_per_s(per_s) + 1e-6
         assert permitted <= per_s
 
 
@@ -99,7 +99,7 @@
             for n in range(65)
         ]
         clock.now += SETTLE_S
-        granted = [node.ask(LIFE, READERS).granted for node in nodes]
+        granted = [node.issue(LIFE, READERS).granted for node in nodes]
         assert sum(granted) == 1
 
     # Guards against an owner on each side of a cut.
@@ -114,27 +114,27 @@
             ]
             nodes.append(permits_of(own, others, clock))
         clock.now += SETTLE_S
-        assert sum(node.ask(LIFE, READERS).granted for node in nodes) == 1
+        assert sum(node.issue(LIFE, READERS).granted for node in nodes) == 1
 
     def test_one_that_has_left_owns_nothing(self):
         clock = Clock()
         left = [member(m, MemberState.LEFT) for m in range(1, 30)]
         permits = permits_of(0, left, clock)
         clock.now += SETTLE_S
-        assert permits.ask(LIFE, READERS).granted
+        assert permits.issue(LIFE, READERS).granted
 
     # Guards against nodes that start alone and each take themselves for the owner.
     def test_one_that_has_heard_of_nobody_hands_out_none(self):
         clock = Clock()
         permits = permits_of(0, [], clock)
         clock.now += 100.0
-        assert not permits.ask(LIFE, READERS).granted
+        assert not permits.issue(LIFE, READERS).granted
 
     def test_the_only_node_of_a_deployment_does(self):
         clock = Clock()
         permits = permits_of(0, [], clock, seeds=())
         clock.now += SETTLE_S
-        assert permits.ask(LIFE, READERS).granted
+        assert permits.issue(LIFE, READERS).granted
 
     # Guards against a second full share after the owner is restarted.
     def test_one_that_has_just_started_hands_out_none(self):
@@ -142,7 +142,7 @@
         permits = permits_of(0, [], clock, seeds=())
         # A pace counts for a second, and nodes agree on each other in less.
         clock.now += 1.0
-        assert not permits.ask(LIFE, READERS).granted
+        assert not permits.issue(LIFE, READERS).granted
 
 
 class Fleet:
@@ -197,7 +197,7 @@
     async def _ask(self, owner, life, service):
         if self.draw.random() < 0.1:
             raise PeerUnreachable(owner.internal, "lost")
-        return self.permits[int(owner.id.removeprefix("node-"))].ask(life, service)
+        return self.permits[int(owner.id.removeprefix("node-"))].issue(life, service)
 
 
 class TestSumOverNodes:
@@ -206,7 +206,7 @@
     async def test_no_cold_server_gets_more_than_it_bears(self, seed):
         draw = random.Random(seed)
         fleet = Fleet(draw.choice([3, 9, 65]), draw)
-        lives = [ServerLife(BackendId(f"e{n}"), 1) for n in range(4)]
+        lives = [ServerIncarnation(BackendId(f"e{n}"), 1) for n in range(4)]
         fleet.clock.now += SETTLE_S
         for step in range(1200):
             fleet.clock.now += 0.005
@@ -246,7 +246,7 @@
             BackendId("e9"), READERS, "s:1", DataCentre("a"), warm_up_s=warm_up_s
         )
         server = Backend(entry)
-        server.take_entry(entry)
+        server.apply_entry(entry)
         return server
 
     async def test_a_warm_server_needs_none(self):
@@ -273,5 +273,5 @@
 
     async def test_a_later_entry_says_that_it_is_warm(self):
         server = self.server(3.0)
-        server.take_entry(HostEntry(BackendId("e9"), READERS, "s:1", DataCentre("a")))
+        server.apply_entry(HostEntry(BackendId("e9"), READERS, "s:1", DataCentre("a")))
         assert not server.is_cold(asyncio.get_running_loop().time())
--- a/tests/support/batching.py
+++ b/tests/support/batching.py
@@ -6,7 +6,7 @@
 from eelgrass_node.process.backends import Backend, HostEntry
 from eelgrass_node.process.batch_items import BatchItem, ItemOutcome
 from eelgrass_node.process.batch_queue import BatchQueue
-from eelgrass_node.process.reach import DataCentreReach
+from eelgrass_node.process.reachability import DataCentreReachability
 from eelgrass_node.request.arrival import Arrival, PromptShape, Routed
 from eelgrass_node.version.deployment import (
     BatchLimits,
@@ -69,7 +69,7 @@
         self.freed = []
         self.ended = set()
         self._behave = behave
-        self.reach = DataCentreReach(DataCentre("a"), now)
+        self.reach = DataCentreReachability(DataCentre("a"), now)
         self.queue = BatchQueue(
             "portal",
             lambda: limits,
--- a/tests/support/evacuated.py
+++ b/tests/support/evacuated.py
@@ -1,6 +1,6 @@
 """Evacuations outside a whole node."""
 
-from eelgrass_node.process.places import Evacuations
+from eelgrass_node.process.evacuation import Evacuations
 
 __all__ = ["PREFIX", "idle_evacuations"]
 
--- a/tests/support/recording_server_list.py
+++ b/tests/support/recording_server_list.py
@@ -28,7 +28,7 @@
         for key in self._listed - keys:
             self._remove(key)
 
-    def note_outage_end(self) -> None:
+    def on_outage_end(self) -> None:
         """Take no notice: nothing lapses here."""
 
     def _remove(self, key: str) -> None:
--- a/tests/support/retry_fleet.py
+++ b/tests/support/retry_fleet.py
@@ -89,7 +89,7 @@
             self._turn += 1
             if up:
                 host = up[self._turn % len(up)]
-                self._process_by_host[host].note_requests(SERVICE)
+                self._process_by_host[host].record_requests(SERVICE)
 
     def _repeat(self) -> None:
         for process in self._process_by_host.values():
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -36,7 +36,7 @@
 
 def emptied(deployment, data_centre="b"):
     place = DataCentre(data_centre)
-    return all(n.places.evacuations.covers(place) for n in deployment.nodes)
+    return all(n.evacuation.evacuations.is_evacuated(place) for n in deployment.nodes)
 
 
 async def ask_often(deployment, count=40):
@@ -99,7 +99,11 @@
         two_places.store.remove("op", ROW)
         two_places.store.drop_history()
         await until(
-            lambda: not any(n.places.evacuations.covers("b") for n in two_places.nodes),
+            lambda: (
+                not any(
+                    n.evacuation.evacuations.is_evacuated("b") for n in two_places.nodes
+                )
+            ),
             4.0,
         )
 
@@ -107,7 +111,7 @@
         two_places.store.put("op", ROW, {})
         late = await two_places.add_node()
         await until(lambda: late.ready, 2.0)
-        assert late.places.evacuations.covers("b")
+        assert late.evacuation.evacuations.is_evacuated("b")
 
     # Guards against callers that wait for what nobody may serve.
     async def test_where_all_are_emptied_callers_are_refused_at_once(self, two_places):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -60,7 +60,7 @@
     async def test_a_server_that_was_slow_is_tried_again(self, deployment):
         backends = deployment.nodes[0].backends
         slow = backends.by_id["archive-index-1"]
-        slow.note_call(30.0)
+        slow.record_call(30.0)
         slow._called_at -= 120.0
         await load(deployment, [0], time.monotonic() + 1.0)
         assert leaver(deployment).journal.entries
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -6,8 +6,8 @@
 import pytest
 
 from eelgrass_coordination.ids import BackendId
-from eelgrass_node.process.backends import ServerLife
-from eelgrass_node.process.ended_servers import Fingerprint
+from eelgrass_node.process.backends import ServerIncarnation
+from eelgrass_node.process.crash_detector import Fingerprint
 from support.entry import WHOLE, until
 from support.poison import POISON, EndingServers
 
@@ -75,7 +75,7 @@
         self, poisoned
     ):
         for node in poisoned.nodes:
-            node.poison.news._announce = lambda marks: None
+            node.poison.gossip._announce = lambda marks: None
             node.membership.members.reachable = lambda: []
         await poisoned.attempts(8)
         assert 0 < len(poisoned.ended) <= MOST_ENDED
@@ -119,9 +119,11 @@
     ):
         """Other copies of it end the third server while it is on its way."""
         quarantine = poisoned.nodes[0].poison.quarantine
-        quarantine.take(Fingerprint("another"), ServerLife(BackendId("ended")))
+        quarantine.record_crash(
+            Fingerprint("another"), ServerIncarnation(BackendId("ended"))
+        )
         answers = iter([False])
-        quarantine.holds = lambda request: next(answers, True)
+        quarantine.is_quarantined = lambda request: next(answers, True)
         status, _, _ = await poisoned.ask("/stream/staged/x", **self.SEGMENTS)
         assert status == 503
         items = [e.batch_items for e in poisoned.engines_by_service["portal"]]
@@ -172,4 +174,4 @@
             assert len(deployment.ended) <= MOST_ENDED + self.COPIES - 1
             assert not any(held)
             for node in deployment.nodes:
-                assert node.poison.quarantine.held() == 1
+                assert node.poison.quarantine.quarantined_count() == 1
