--- a/packages/node/src/eelgrass_node/connection/replies.py
+++ b/packages/node/src/eelgrass_node/connection/replies.py
@@ -49,7 +49,7 @@
     def of(cls, request_id: str, result: PipelineResult) -> "Answer":
         """Return the answer that carries a pipeline's result."""
         costs = [msgspec.to_builtins(cost) for cost in result.costs]
-        return cls(request_id, result.output, result.pieces, costs=costs)
+        return cls(request_id, result.output, result.chunks, costs=costs)
 
 
 def problem_of(refused: Refused, request_id: str) -> dict:
--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -55,9 +55,9 @@
 from .process.stopping import Stopping
 from .process.supervision import keep_running
 from .process.warm_up import WarmUp
-from .request.accept import Acceptance
-from .request.final_times import FinalTimes
-from .request.serving_parts import ServingParts
+from .request.final_call_latency import FinalCallLatency
+from .request.request_handler import RequestHandler
+from .request.serving_context import ServingContext
 from .request.stage_planner import StagePlanner
 from .version.deployment import ServiceName
 
@@ -194,7 +194,7 @@
             clock=loop.time,
         )
         self.queue_loads = QueueLoads(loop.time)
-        self.final_times = FinalTimes()
+        self.final_call_latency = FinalCallLatency()
         self.handoff = HandoffClient(self.queue_loads.receive)
         self.owners = QueueOwners(
             settings.node,
@@ -307,9 +307,9 @@
             self.choice.choose,
             lambda: self.deployments.current,
             self.queue_loads,
-            self.final_times,
+            self.final_call_latency,
         )
-        parts = ServingParts(
+        parts = ServingContext(
             codec=requests,
             choose=self.choice.choose,
             admit=self.warm_up.admission.admit,
@@ -317,19 +317,19 @@
             data_centre_of=self.local_queues.data_centre_of,
             has_ended=self.backends.has_ended,
             plan=planner.plan,
-            refuse_hopeless=planner.refuse_hopeless,
+            infeasible_retry_after_s=planner.infeasible_retry_after_s,
             run_items=self.shared_queues.run,
             free_results=self.shared_queues.results.free,
-            final_times=self.final_times,
+            final_call_latency=self.final_call_latency,
             retries=self.retries,
             reach=self.reach,
-            server_gone=self._server_replaced,
-            server_fails=self.failing.announce_failure,
+            on_server_replaced=self._server_replaced,
+            on_server_failing=self.failing.announce_failure,
             poison=self.poison,
             count=self.counters.count,
             metrics=self.metrics,
         )
-        accept = Acceptance(
+        accept = RequestHandler(
             requests, self.deployments, parts, self.stopping, self.counters.count
         )
         server = CallerServer(accept.handle, self._header_s, MAX_BODY_BYTES)
--- a/packages/node/src/eelgrass_node/platform/requests.py
+++ b/packages/node/src/eelgrass_node/platform/requests.py
@@ -5,10 +5,16 @@
 from multidict import CIMultiDict
 
 from ..exceptions import RequestMalformed
-from ..request.arrival import Arrival, EngineHead, PromptPart, PromptShape, Routed
+from ..request.incoming_request import (
+    IncomingRequest,
+    PromptPart,
+    PromptShape,
+    ResponseHead,
+    RoutedRequest,
+)
 from . import names
 
-__all__ = ["decode_arrival", "decode_head", "encode_request"]
+__all__ = ["decode_request", "decode_head", "encode_request"]
 
 # These concern one connection only and never go on (RFC 9110, 7.6.1).
 HOP_HEADERS = frozenset(
@@ -34,13 +40,13 @@
 HTTP_MISDIRECTED = 421
 
 
-def decode_arrival(
+def decode_request(
     method: str,
     target: str,
     raw_headers: tuple[tuple[bytes, bytes], ...],
     body: bytes,
     arrived_at: float,
-) -> Arrival:
+) -> IncomingRequest:
     """Decode a caller's request; raises :class:`RequestMalformed`."""
     headers = _decoded(raw_headers)
     known = CIMultiDict(headers)
@@ -50,7 +56,7 @@
     if len(known.getall(names.ATTEMPT_ID)) > 1 or len(known.getall("Host", ())) > 1:
         raise RequestMalformed("a header that must be unique came twice")
     dropped = _connection_headers(known) | names.SYSTEM_HEADERS | {_LENGTH}
-    return Arrival(
+    return IncomingRequest(
         request_id=request_id,
         method=method,
         target=target,
@@ -68,7 +74,7 @@
 
 
 def encode_request(
-    routed: Routed,
+    routed: RoutedRequest,
     server_id: str,
     deadline_s: float,
     inputs: tuple[str, ...],
@@ -77,7 +83,7 @@
 ) -> CIMultiDict[str]:
     """Return the headers towards a backend server."""
     headers: CIMultiDict[str] = CIMultiDict()
-    for name, value in routed.arrival.headers:
+    for name, value in routed.incoming.headers:
         headers.add(name, value)
     if last_event_id is not None:
         headers[names.LAST_EVENT_ID] = last_event_id
@@ -95,14 +101,14 @@
 
 def decode_head(
     status: int, raw_headers: tuple[tuple[bytes, bytes], ...]
-) -> EngineHead:
+) -> ResponseHead:
     """Decode the head of a backend server's answer."""
     decoded = _decoded(raw_headers)
     known = CIMultiDict(decoded)
     dropped = _connection_headers(known)
     passed = ((n, v) for n, v in decoded if n.lower() not in dropped)
     connection = known.get("Connection", "").lower()
-    return EngineHead(
+    return ResponseHead(
         status=status,
         request_id=known.get(names.ATTEMPT_ID),
         server_id=known.get(names.ENGINE_ID),
--- a/packages/node/src/eelgrass_node/process/node.py
+++ b/packages/node/src/eelgrass_node/process/node.py
@@ -27,7 +27,7 @@
 from ..connection.peers import PeersInterface
 from ..exceptions import PeerUnreachable
 from ..log import Part, log
-from ..request.late_costs import LateCosts
+from ..request.cost_reconciler import CostReconciler
 from ..request.reasons import DiscardReason, RetryReason
 from ..request.stages import StageEnvironment
 from ..settings import Settings
@@ -63,7 +63,7 @@
         self.incarnation = Incarnation(new_id("run"))
         self.counters = Counters(_statsd_client(settings))
         self.ledger = CostLedger()
-        self.late_costs = LateCosts(self.ledger.correct)
+        self.cost_reconciler = CostReconciler(self.ledger.correct)
         timing = settings.timing
         self.stopping = Stopping(
             timing.drain_notice_ms / 1000, timing.drain_limit_ms / 1000
@@ -200,11 +200,11 @@
             dispatch=self.dispatch,
             budget=RetryBudget(policy.retry_budget_ratio, policy.retry_budget_reserve),
             first_byte_floor_s=timing.first_byte_floor_ms / 1000,
-            between_floor_s=timing.between_pieces_floor_ms / 1000,
+            chunk_gap_floor_s=timing.between_pieces_floor_ms / 1000,
             on_retry=self._count_retry,
             on_discard=self._count_discard,
             on_leaving=self._backend_leaves,
-            on_cost_unknown=self.late_costs.settle,
+            on_cost_unknown=self.cost_reconciler.reconcile,
         )
 
     def _connect(self) -> None:
--- a/packages/node/src/eelgrass_node/request/attempt.py
+++ b/packages/node/src/eelgrass_node/request/attempt.py
@@ -47,7 +47,7 @@
     output: Any = None
     reason: RetryReason | None = None
     cost_ms: float | None = None
-    pieces: int = 0
+    chunks: int = 0
 
 
 class Attempt(msgspec.Struct, frozen=True):
--- a/packages/node/src/eelgrass_node/request/answering.py
+++ b/packages/node/src/eelgrass_node/request/caller_response.py
@@ -7,8 +7,8 @@
 from multidict import CIMultiDict
 
 from ..exceptions import CallerGone
-from .arrival import EngineHead
-from .exchange import Reply
+from .engine_call import Reply
+from .incoming_request import ResponseHead
 
 __all__ = ["CallerAnswer", "refusal_response"]
 
@@ -63,7 +63,7 @@
             return self.break_off()
         return self._finished(refusal_response(status, reason, retry_after_s))
 
-    async def begin(self, head: EngineHead) -> None:
+    async def begin(self, head: ResponseHead) -> None:
         """Send the head of a stream; the head of a later run is not sent."""
         if self._stream is not None:
             return
--- a/packages/node/src/eelgrass_node/request/late_costs.py
+++ b/packages/node/src/eelgrass_node/request/cost_reconciler.py
@@ -12,7 +12,7 @@
 from .generation import CancelAnswer, cancel
 from .model import CallerRequest, StageCost
 
-__all__ = ["LateCosts"]
+__all__ = ["CostReconciler"]
 
 # Bounds and pauses in seconds. A server keeps an attempt for 10 s after its end.
 ASK_S = 1.0
@@ -20,7 +20,7 @@
 MAX_ASKS = 4
 
 
-class LateCosts:
+class CostReconciler:
     """Asks servers for costs; ``on_cost`` is told each one as a correction.
 
     The attempt was counted as one without a known cost before.
@@ -30,7 +30,7 @@
         self._on_cost = on_cost
         self._tasks: set[asyncio.Task] = set()
 
-    def settle(self, attempt: Attempt) -> None:
+    def reconcile(self, attempt: Attempt) -> None:
         """Cancel an attempt and find out what it has cost, without waiting."""
         task = asyncio.create_task(self._settle(attempt))
         self._tasks.add(task)
--- a/packages/node/src/eelgrass_node/request/exchange.py
+++ b/packages/node/src/eelgrass_node/request/engine_call.py
@@ -15,7 +15,7 @@
 
 from ..exceptions import CallFailed
 from ..process.backends import Backend
-from .arrival import EngineHead, Routed, WireCodec
+from .incoming_request import ResponseHead, RoutedRequest, WireCodec
 from .reasons import RetryReason
 
 __all__ = ["EngineCall", "Reply", "failure_of"]
@@ -30,7 +30,7 @@
 class Reply(msgspec.Struct, frozen=True):
     """A whole answer that the server gave and signed."""
 
-    head: EngineHead
+    head: ResponseHead
     body: bytes
 
 
@@ -47,7 +47,7 @@
     def __init__(
         self,
         codec: WireCodec,
-        routed: Routed,
+        routed: RoutedRequest,
         backend: Backend,
         inputs: tuple[str, ...],
         silence_s: float,
@@ -67,7 +67,7 @@
         backend.connections.enter()
         self._closed: asyncio.Future | None = None
 
-    async def open(self, last_event_id: str | None = None) -> EngineHead:
+    async def open(self, last_event_id: str | None = None) -> ResponseHead:
         """Send the request and return the head of a signed answer to it.
 
         Raises :class:`CallFailed` where there is none.
@@ -135,27 +135,27 @@
             last_event_id,
             self._copy_from,
         )
-        arrival = routed.arrival
+        incoming = routed.incoming
         context = self._backend.connections.request(
-            arrival.method,
-            arrival.target,
+            incoming.method,
+            incoming.target,
             headers,
-            arrival.body,
+            incoming.body,
             connect_s=min(CONNECT_S, remaining_s),
             reuse=routed.route.repeatable,
             on_sent=self._on_sent,
         )
-        bound_s = self._silence_s + send_allowance_s(len(arrival.body))
+        bound_s = self._silence_s + send_allowance_s(len(incoming.body))
         try:
             async with StallAwareTimeout(self._before_deadline(bound_s)):
                 return await context
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             raise failure_of(error) from error
 
-    def _check(self, head: EngineHead) -> None:
+    def _check(self, head: ResponseHead) -> None:
         if head.request_id is None and head.not_run:
             raise CallFailed(_refusal_reason(head), not_run=True)
-        if head.request_id != self._routed.arrival.request_id:
+        if head.request_id != self._routed.incoming.request_id:
             raise CallFailed(RetryReason.WRONG_ATTEMPT, not_run=False)
         if head.not_run:
             raise CallFailed(_refusal_reason(head), not_run=True)
@@ -194,7 +194,7 @@
     return CallFailed(RetryReason.CONNECTION_LOST, not_run=False)
 
 
-def _refusal_reason(head: EngineHead) -> RetryReason:
+def _refusal_reason(head: ResponseHead) -> RetryReason:
     if head.status == HTTP_MISDIRECTED:
         return RetryReason.BACKEND_REPLACED
     if head.status == HTTP_CONFLICT:
--- a/packages/node/src/eelgrass_node/request/final_times.py
+++ b/packages/node/src/eelgrass_node/request/final_call_latency.py
@@ -10,7 +10,7 @@
 
 from eelgrass_coordination import MovingAverage
 
-__all__ = ["FinalTimes"]
+__all__ = ["FinalCallLatency"]
 
 # Until answers have told: the prompt of a large request is read in a quarter of
 # a second on the sheets.
@@ -23,7 +23,7 @@
 WEIGHT = 0.1
 
 
-class FinalTimes:
+class FinalCallLatency:
     """The times of each route, in seconds."""
 
     def __init__(self) -> None:
--- a/packages/node/src/eelgrass_node/request/fingerprint.py
+++ b/packages/node/src/eelgrass_node/request/fingerprint.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 
 from ..process.crash_detector import Fingerprint
-from .arrival import Routed
+from .incoming_request import RoutedRequest
 
 __all__ = ["fingerprint_of"]
 
@@ -16,15 +16,15 @@
 LENGTH_BYTES = 8
 
 
-def fingerprint_of(routed: Routed) -> Fingerprint:
+def fingerprint_of(routed: RoutedRequest) -> Fingerprint:
     """Return the same text for all attempts at one request of an account."""
-    arrival = routed.arrival
+    incoming = routed.incoming
     digest = blake2b(digest_size=DIGEST_BYTES)
     for part in (
-        arrival.host.encode(),
-        arrival.target.encode(),
+        incoming.host.encode(),
+        incoming.target.encode(),
         (routed.account_name or "").encode(),
-        arrival.body,
+        incoming.body,
     ):
         digest.update(len(part).to_bytes(LENGTH_BYTES))
         digest.update(part)
--- a/packages/node/src/eelgrass_node/request/generation.py
+++ b/packages/node/src/eelgrass_node/request/generation.py
@@ -68,16 +68,16 @@
         self._decoder = msgspec.json.Decoder(_Line)
         self._sent_at = 0.0
         self._first_piece_at = 0.0
-        self.pieces: list[str] = []
+        self.chunks: list[str] = []
 
     @property
     def text(self) -> str:
         """Everything generated so far."""
-        return "".join(self.pieces)
+        return "".join(self.chunks)
 
     async def run(self, attempt: Attempt, stage_input: Any) -> AttemptResult:
         """Make one attempt, which goes on after the pieces already taken."""
-        body = _generate_body(attempt, stage_input, len(self.pieces))
+        body = _generate_body(attempt, stage_input, len(self.chunks))
         self._sent_at = running_time()
         try:
             result = await guarded(attempt, "/v1/generate", body, self._read)
@@ -95,7 +95,7 @@
     async def _read(
         self, attempt: Attempt, response: aiohttp.ClientResponse
     ) -> AttemptResult:
-        first = len(self.pieces)
+        first = len(self.chunks)
         ahead: dict[int, str] = {}
         while True:
             if self._is_hopeless(attempt):
@@ -107,9 +107,9 @@
                 attempt.on_discard(DiscardReason.WRONG_ATTEMPT)
                 return unknown(RetryReason.WRONG_ATTEMPT)
             if line.final:
-                taken = len(self.pieces) - first
+                taken = len(self.chunks) - first
                 self._note_pace(taken)
-                return _final_result(line, taken, self.text, len(self.pieces))
+                return _final_result(line, taken, self.text, len(self.chunks))
             if line.seq == 0:
                 self._first_piece_at = running_time()
                 self._first_average.record(self._first_piece_at - self._sent_at)
@@ -121,7 +121,7 @@
         remaining_s = attempt.request.remaining()
         if remaining_s <= 0:
             return True
-        left = int(attempt.stage.max_tokens) - len(self.pieces)
+        left = int(attempt.stage.max_tokens) - len(self.chunks)
         expected_s = left * self._between_average.mean
         return expected_s * HOPE_FRACTION > remaining_s
 
@@ -149,16 +149,16 @@
         self, attempt: Attempt, line: _Line, first: int, ahead: dict[int, str]
     ) -> bool:
         seq = first + line.seq
-        if seq < len(self.pieces) or seq in ahead:
+        if seq < len(self.chunks) or seq in ahead:
             attempt.on_discard(DiscardReason.REPEATED_PIECE)
             return True
         if len(ahead) >= MAX_AHEAD:
             attempt.on_discard(DiscardReason.TOO_FAR_AHEAD)
             return False
         ahead[seq] = line.text
-        while len(self.pieces) in ahead:
-            text = ahead.pop(len(self.pieces))
-            self.pieces.append(text)
+        while len(self.chunks) in ahead:
+            text = ahead.pop(len(self.chunks))
+            self.chunks.append(text)
             await self._pass_on(text)
         return True
 
@@ -191,7 +191,7 @@
         connections.leave()
 
 
-def _final_result(line: _Line, taken: int, text: str, pieces: int) -> AttemptResult:
+def _final_result(line: _Line, taken: int, text: str, chunks: int) -> AttemptResult:
     if line.cancelled:
         return unknown(RetryReason.CANCELLED_BY_BACKEND, line.cost_ms)
     if line.count != taken:
@@ -200,7 +200,7 @@
         AttemptOutcome.COMPLETED,
         output={"text": text},
         cost_ms=line.cost_ms,
-        pieces=pieces,
+        chunks=chunks,
     )
 
 
--- a/packages/node/src/eelgrass_node/request/graph.py
+++ b/packages/node/src/eelgrass_node/request/graph.py
@@ -17,7 +17,7 @@
 from ..process.batch_items import BatchItem, ItemFailure, ItemOutcome
 from ..process.crash_detector import Fingerprint
 from ..version.deployment import BatchStage, ServiceName
-from .arrival import Routed
+from .incoming_request import RoutedRequest
 
 __all__ = ["FreeResults", "RunItems", "StageGraph", "StagePlan"]
 
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        routed: Routed,
+        routed: RoutedRequest,
         plan: StagePlan,
         run_items: RunItems,
         free: FreeResults,
@@ -115,7 +115,7 @@
             return ""
         return bytes_by_place.most_common(1)[0][0]
 
-    def outdated(self) -> bool:
+    def has_lost_results(self) -> bool:
         """Return whether a server that held a result has started again."""
         return any(
             result.producer is not None and self._is_over(result.producer)
@@ -145,7 +145,7 @@
             await done[before].wait()
         missing = [
             item
-            for item in range(self._routed.arrival.item_count(number))
+            for item in range(self._routed.incoming.item_count(number))
             if number not in self._done and (number, item) not in self._result_by_item
         ]
         if missing:
@@ -206,10 +206,10 @@
         near = self._near(stage)
         return [
             BatchItem(
-                request_id=routed.arrival.request_id,
+                request_id=routed.incoming.request_id,
                 stage=number,
                 number=item,
-                key=None if stage.after else routed.arrival.item_key,
+                key=None if stage.after else routed.incoming.item_key,
                 inputs=inputs,
                 deadline=self._plan.deadline_by_stage[number],
                 due=self._plan.due_by_stage[number],
@@ -240,7 +240,7 @@
 
         Raises :class:`_ResultsGone` where a server that held one started again.
         """
-        if self.outdated():
+        if self.has_lost_results():
             raise _ResultsGone
         return tuple(result.handle for result in self._results(stages))
 
@@ -248,7 +248,7 @@
         return [
             self._result_by_item[stage, item]
             for stage in stages
-            for item in range(self._routed.arrival.item_count(stage))
+            for item in range(self._routed.incoming.item_count(stage))
         ]
 
 
--- a/packages/node/src/eelgrass_node/request/arrival.py
+++ b/packages/node/src/eelgrass_node/request/incoming_request.py
@@ -12,11 +12,11 @@
 from ..version.deployment import AccountGrant, Route, RouteKind, ServiceName
 
 __all__ = [
-    "Arrival",
-    "EngineHead",
+    "IncomingRequest",
+    "ResponseHead",
     "PromptPart",
     "PromptShape",
-    "Routed",
+    "RoutedRequest",
     "WireCodec",
 ]
 
@@ -35,7 +35,7 @@
     tokens_in: int = 0
     tokens_out: int = 0
 
-    def shared_part(self) -> str | None:
+    def prefix_key(self) -> str | None:
         """Return the id of the last part that other requests may share."""
         if len(self.parts) < 2:
             return None
@@ -46,7 +46,7 @@
         return sum(part.tokens for part in self.parts[:-1])
 
 
-class Arrival(msgspec.Struct, frozen=True):
+class IncomingRequest(msgspec.Struct, frozen=True):
     """What a caller sent, decoded once.
 
     ``caller_deadline_s`` is how long the caller waits from ``arrived_at``, None
@@ -73,14 +73,14 @@
         return counts[stage] if stage < len(counts) else 0
 
 
-class Routed(msgspec.Struct, frozen=True):
+class RoutedRequest(msgspec.Struct, frozen=True):
     """An arrival with the route, service and account that it was given.
 
     ``deadline`` is when the caller must have its answer, ``due`` when the
     answer earns its full credit; both on the clock of the event loop.
     """
 
-    arrival: Arrival
+    incoming: IncomingRequest
     route: Route
     service: ServiceName
     account: AccountGrant | None
@@ -99,7 +99,7 @@
             return self.deadline
         route = self.route
         wait_s = max(2.0, 4 * route.target_s, 8 * route.gap_target_s)
-        return min(self.deadline, self.arrival.arrived_at + wait_s)
+        return min(self.deadline, self.incoming.arrived_at + wait_s)
 
     @property
     def account_name(self) -> str | None:
@@ -125,7 +125,7 @@
         return self.route.priority
 
 
-class EngineHead(msgspec.Struct, frozen=True):
+class ResponseHead(msgspec.Struct, frozen=True):
     """The head of a backend server's answer, decoded once.
 
     ``not_run`` says that the server promises not to have run the request and
@@ -146,19 +146,19 @@
 class WireCodec(Protocol):
     """What the adapter does for a request."""
 
-    def decode_arrival(
+    def decode_request(
         self,
         method: str,
         target: str,
         raw_headers: tuple[tuple[bytes, bytes], ...],
         body: bytes,
         arrived_at: float,
-    ) -> Arrival:
+    ) -> IncomingRequest:
         """Decode a caller's request; raises :class:`RequestMalformed`."""
 
     def encode_request(
         self,
-        routed: Routed,
+        routed: RoutedRequest,
         server_id: str,
         deadline_s: float,
         inputs: tuple[str, ...],
@@ -173,5 +173,5 @@
 
     def decode_head(
         self, status: int, raw_headers: tuple[tuple[bytes, bytes], ...]
-    ) -> EngineHead:
+    ) -> ResponseHead:
         """Decode the head of a backend server's answer."""
--- a/packages/node/src/eelgrass_node/request/model.py
+++ b/packages/node/src/eelgrass_node/request/model.py
@@ -59,12 +59,12 @@
     """The whole result of one stage; ``pieces`` counts those of a stream."""
 
     output: Any
-    pieces: int = 0
+    chunks: int = 0
 
 
 class PipelineResult(msgspec.Struct, frozen=True):
     """The whole answer of a pipeline."""
 
     output: Any
-    pieces: int
+    chunks: int
     costs: tuple[StageCost, ...]
--- a/packages/node/src/eelgrass_node/request/pipeline.py
+++ b/packages/node/src/eelgrass_node/request/pipeline.py
@@ -35,7 +35,7 @@
     costs: list[StageCost] = []
     so_far = Outcome.NOT_RUN
     output = None
-    pieces = 0
+    chunks = 0
     for number, stage in enumerate(stages):
         last = number == len(stages) - 1
         rest = stages[number + 1 :]
@@ -57,10 +57,10 @@
         costs.append(run.cost)
         so_far = worst_outcome(so_far, outcome_after(stage))
         output = result.output
-        pieces = result.pieces
+        chunks = result.chunks
     if request.remaining() <= 0 and so_far is not Outcome.UNKNOWN:
         raise Refused(RefusalReason.DEADLINE_PASSED, so_far)
-    return PipelineResult(output, pieces, tuple(costs))
+    return PipelineResult(output, chunks, tuple(costs))
 
 
 def outcome_after(stage: Stage) -> Outcome:
--- a/packages/node/src/eelgrass_node/request/planning.py
+++ b/packages/node/src/eelgrass_node/request/planning.py
@@ -3,10 +3,10 @@
 from ..process.batch_queue import LATE_BACKLOG_S
 from ..process.queue_load import QueueLoads
 from ..version.deployment import BatchStage, Deployment, Service
-from .arrival import Routed
 from .graph import LARGE_BYTES, StagePlan
+from .incoming_request import RoutedRequest
 
-__all__ = ["plan_stages", "refuse_hopeless"]
+__all__ = ["plan_stages", "infeasible_retry_after_s"]
 
 # A stage is expected to take a full call, and to wait for half of one: servers
 # are seldom idle when it matters.
@@ -21,7 +21,7 @@
 
 
 def plan_stages(
-    routed: Routed, deployment: Deployment, near: str, final_s: float
+    routed: RoutedRequest, deployment: Deployment, near: str, final_s: float
 ) -> StagePlan:
     """Return when each stage is due and after which others it should begin.
 
@@ -31,7 +31,7 @@
     final_s = _kept_s(routed, final_s)
     took_s = [
         expected_s(deployment.service_by_name.get(stage.service))
-        if routed.arrival.item_count(number)
+        if routed.incoming.item_count(number)
         else 0.0
         for number, stage in enumerate(stages)
     ]
@@ -44,17 +44,17 @@
 
 
 def expected_end(
-    routed: Routed, deployment: Deployment, loads: QueueLoads, final_s: float
+    routed: RoutedRequest, deployment: Deployment, loads: QueueLoads, final_s: float
 ) -> float:
     """Return when the stages are expected to be done and the request begun.
 
     The waits are those of requests that can still be on time.
     """
-    arrived_at = routed.arrival.arrived_at
+    arrived_at = routed.incoming.arrived_at
     ends = []
     for number, stage in enumerate(routed.route.stages):
         begins = max((ends[before] for before in stage.after), default=arrived_at)
-        if routed.arrival.item_count(number):
+        if routed.incoming.item_count(number):
             service = deployment.service_by_name.get(stage.service)
             begins += full_call_s(service) + loads.wait_s(
                 stage.service, routed.priority, routed.account_name
@@ -63,8 +63,8 @@
     return max(ends, default=arrived_at) + _kept_s(routed, final_s)
 
 
-def refuse_hopeless(
-    routed: Routed, deployment: Deployment, loads: QueueLoads, final_s: float
+def infeasible_retry_after_s(
+    routed: RoutedRequest, deployment: Deployment, loads: QueueLoads, final_s: float
 ) -> float | None:
     """Return when to come back, in seconds, where a request has no chance.
 
@@ -83,19 +83,19 @@
     return max(late_s, end - routed.due, overload_s)
 
 
-def _kept_s(routed: Routed, final_s: float) -> float:
+def _kept_s(routed: RoutedRequest, final_s: float) -> float:
     """Return the time to keep for a request after its stages."""
-    whole_s = _give_up_at(routed) - routed.arrival.arrived_at
+    whole_s = _give_up_at(routed) - routed.incoming.arrived_at
     return min(final_s, MAX_FINAL_FRACTION * whole_s)
 
 
-def _give_up_at(routed: Routed) -> float:
+def _give_up_at(routed: RoutedRequest) -> float:
     """Return until when the stages of a request are worth waiting for.
 
     A caller that is refused near its deadline can do nothing any more; one that
     is told earlier can still come back.
     """
-    arrived_at = routed.arrival.arrived_at
+    arrived_at = routed.incoming.arrived_at
     return arrived_at + GIVE_UP_FRACTION * (routed.caller_leaves_at - arrived_at)
 
 
--- a/packages/node/src/eelgrass_node/request/routed.py
+++ b/packages/node/src/eelgrass_node/request/request_execution.py
@@ -26,17 +26,17 @@
 from ..process.crash_detector import Fingerprint
 from ..process.server_choice import ServerCriteria
 from ..version.deployment import RouteKind, ServiceName
-from .admitted import admitted_server
-from .answering import CallerAnswer
-from .arrival import EngineHead, Routed
+from .caller_response import CallerAnswer
+from .engine_call import EngineCall, Reply
 from .events import EventSplitter
-from .exchange import EngineCall, Reply
 from .fingerprint import fingerprint_of
 from .graph import StageGraph
+from .incoming_request import ResponseHead, RoutedRequest
 from .reasons import FAILING, LOST, SILENCES, SUSPICIOUS, UNCONNECTED, RetryReason
-from .serving_parts import ServingParts
+from .server_selection import admitted_server
+from .serving_context import ServingContext
 
-__all__ = ["ANSWER_MARGIN_S", "RoutedRequest"]
+__all__ = ["ANSWER_MARGIN_S", "RequestExecution"]
 
 # Calls that a server refuses unrun, or that never reached one, a request.
 MAX_REFUSED_CALLS = 4
@@ -53,7 +53,7 @@
 # 30 MB take 25 ms at the sheets' 10 Gbit/s. Results are freed after this, since
 # memory for them is scarcer than anything else in a burst. One that is asked
 # for later is gone, and the engine says so without having run.
-FETCHED_S = 0.06
+RESULT_FETCH_S = 0.06
 # When to come back, in seconds: a place comes free within a call or two.
 RETRY_FULL_S = 0.4
 # Callers wait at most a third of the time that they have left (the users'
@@ -74,11 +74,11 @@
     ANSWER = "answer"
 
 
-class RoutedRequest:
+class RequestExecution:
     """One request on its way; :meth:`serve` returns its answer."""
 
     def __init__(
-        self, parts: ServingParts, routed: Routed, answer: CallerAnswer
+        self, parts: ServingContext, routed: RoutedRequest, answer: CallerAnswer
     ) -> None:
         self._parts = parts
         self._routed = routed
@@ -93,7 +93,7 @@
         self._headed_at = 0.0
         self._fetched: asyncio.TimerHandle | None = None
         self._last_reply: Reply | None = None
-        self._events = EventSplitter(routed.arrival.last_event_id)
+        self._events = EventSplitter(routed.incoming.last_event_id)
         self._graph = StageGraph(
             routed,
             parts.plan(routed),
@@ -122,7 +122,7 @@
 
     async def _serve(self) -> web.StreamResponse:
         self._check_quarantine()
-        hopeless_s = self._parts.refuse_hopeless(self._routed)
+        hopeless_s = self._parts.infeasible_retry_after_s(self._routed)
         if hopeless_s is not None:
             raise RequestRefused("the stages have no room in time", hopeless_s)
         inputs = await self._run_stages()
@@ -131,7 +131,7 @@
             self._parts.metrics.record_stages(self._routed.route.name, self._age_s())
         while True:
             out_of_reach = self._parts.reach.is_suspected(self._inputs_at())
-            if out_of_reach or self._graph.outdated():
+            if out_of_reach or self._graph.has_lost_results():
                 # No server could fetch them.
                 self._graph.release()
             if self._graph.released:
@@ -187,8 +187,8 @@
 
     def _criteria(self) -> ServerCriteria:
         routed = self._routed
-        prefix_key = routed.arrival.prompt.shared_part()
-        shared_tokens = routed.arrival.prompt.shared_tokens()
+        prefix_key = routed.incoming.prompt.prefix_key()
+        shared_tokens = routed.incoming.prompt.shared_tokens()
         quarantine = self._parts.poison.quarantine
         if quarantine and quarantine.is_suspect(self._fingerprint):
             # Apart from those that lost the same server, so as to tell them apart.
@@ -223,7 +223,7 @@
             self._headed_at = _now()
             if routed.route.stages:
                 took_s = running_time() - self._staged_awake
-                self._parts.final_times.note(routed.route.name, took_s)
+                self._parts.final_call_latency.note(routed.route.name, took_s)
             self._parts.reach.record_answer(backend.entry.data_centre)
             if head.load is not None:
                 backend.record_load(head.load[0], head.load[1])
@@ -243,15 +243,15 @@
 
     def _copy_from(self, backend: Backend) -> str | None:
         """Return the address of an engine that holds what this one would read."""
-        prompt = self._routed.arrival.prompt
+        prompt = self._routed.incoming.prompt
         warm = self._parts.copy_source(
-            backend, prompt.shared_part(), prompt.shared_tokens()
+            backend, prompt.prefix_key(), prompt.shared_tokens()
         )
         return None if warm is None else warm.entry.address
 
     def _release_when_fetched(self) -> None:
         loop = asyncio.get_running_loop()
-        self._fetched = loop.call_later(FETCHED_S, self._graph.release)
+        self._fetched = loop.call_later(RESULT_FETCH_S, self._graph.release)
 
     def _cancel_release(self) -> None:
         if self._fetched is not None:
@@ -259,7 +259,7 @@
             self._fetched = None
 
     async def _relay(
-        self, call: EngineCall, head: EngineHead, backend: Backend, began: float
+        self, call: EngineCall, head: ResponseHead, backend: Backend, began: float
     ) -> web.StreamResponse:
         await self._answer.begin(head)
         gap_s = STREAM_GAP_S if self._routed.route.resumable else float("inf")
@@ -285,11 +285,11 @@
             self._runs += 1
             self._may_have_run = True
         if failed.reason is RetryReason.BACKEND_REPLACED:
-            self._parts.server_gone(backend)
+            self._parts.on_server_replaced(backend)
         elif failed.reason in SUSPICIOUS:
             backend.suspect()
             if failed.reason in FAILING:
-                self._parts.server_fails(backend)
+                self._parts.on_server_failing(backend)
         if failed.reason is RetryReason.CONNECTION_SILENT:
             backend.connections.replace()
         if failed.reason in SILENCES:
@@ -299,7 +299,7 @@
         log(
             Part.REQUESTS,
             "A call failed.",
-            id=self._routed.arrival.request_id,
+            id=self._routed.incoming.request_id,
             route=self._routed.route.name,
             backend=backend.entry.id,
             reason=failed.reason.value,
@@ -326,7 +326,7 @@
         # A call that reached no server is no load on any.
         reached = failed.reason not in UNCONNECTED
         if reached and not self._parts.retries.try_spend(
-            routed.service, routed.arrival.request_id
+            routed.service, routed.incoming.request_id
         ):
             raise RequestRefused(f"retry budget spent: {reason}", RETRY_FULL_S)
         self._parts.count(f"retry.{reason}")
@@ -366,10 +366,10 @@
         retry_after_s = min(refused.retry_after_s or RETRY_FULL_S, max(0.0, latest_s))
         return self._answer.refusal(HTTP_UNAVAILABLE, refused.reason, retry_after_s)
 
-    def _log_answered(self, backend: Backend, head: EngineHead) -> None:
+    def _log_answered(self, backend: Backend, head: ResponseHead) -> None:
         if self._parts.poison.quarantine and head.status < SERVER_ERROR:
             self._parts.poison.record_success(self._fingerprint)
-        arrived_at = self._routed.arrival.arrived_at
+        arrived_at = self._routed.incoming.arrived_at
         self._log_end(
             "Answered.",
             backend=backend.entry.id,
@@ -380,14 +380,14 @@
         )
 
     def _age_s(self) -> float:
-        return _now() - self._routed.arrival.arrived_at
+        return _now() - self._routed.incoming.arrived_at
 
     def _log_end(self, sentence: str, **fields: object) -> None:
         routed = self._routed
         log(
             Part.REQUESTS,
             sentence,
-            id=routed.arrival.request_id,
+            id=routed.incoming.request_id,
             route=routed.route.name,
             account=routed.account_name,
             runs=self._runs,
--- a/packages/node/src/eelgrass_node/request/accept.py
+++ b/packages/node/src/eelgrass_node/request/request_handler.py
@@ -11,13 +11,13 @@
 from ..process.deployments import DeploymentInForce
 from ..process.stopping import Stopping
 from ..version.deployment import AccountGrant, Route
-from .answering import CallerAnswer
-from .arrival import Arrival, Routed, WireCodec
-from .routed import ANSWER_MARGIN_S, RoutedRequest
-from .serving_parts import ServingParts
-from .usual_deadline import UsualDeadlines
+from .caller_response import CallerAnswer
+from .incoming_request import IncomingRequest, RoutedRequest, WireCodec
+from .request_execution import ANSWER_MARGIN_S, RequestExecution
+from .serving_context import ServingContext
+from .typical_deadline import TypicalDeadlines
 
-__all__ = ["Acceptance"]
+__all__ = ["RequestHandler"]
 
 # When to come back, in seconds: a node has its configuration within half a
 # second of its start, and another node can take a request at once.
@@ -38,14 +38,14 @@
 HTTP_INTERNAL_ERROR = 500
 
 
-class Acceptance:
+class RequestHandler:
     """Handles callers' requests for one process."""
 
     def __init__(
         self,
         codec: WireCodec,
         deployments: DeploymentInForce,
-        parts: ServingParts,
+        parts: ServingContext,
         stopping: Stopping,
         count: Callable[[str], None],
     ) -> None:
@@ -55,7 +55,7 @@
         self._stopping = stopping
         self._count = count
         self._random = random.Random()
-        self._usual_deadlines = UsualDeadlines()
+        self._usual_deadlines = TypicalDeadlines()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one request."""
@@ -101,51 +101,51 @@
             self._count("refusal.body-too-large")
             return answer.refusal(HTTP_TOO_LARGE, "the body is too large")
         try:
-            arrival = self._codec.decode_arrival(
+            incoming = self._codec.decode_request(
                 request.method, request.raw_path, request.raw_headers, body, arrived_at
             )
         except RequestMalformed as error:
             self._count("refusal.malformed")
             return answer.refusal(HTTP_BAD_REQUEST, str(error))
-        return await self._route(arrival, answer)
+        return await self._route(incoming, answer)
 
     async def _route(
-        self, arrival: Arrival, answer: CallerAnswer
+        self, incoming: IncomingRequest, answer: CallerAnswer
     ) -> web.StreamResponse:
         # Read again: a newer version may have come while the body was read.
         deployment = self._deployments.current
-        route = deployment.match(arrival.host, arrival.target.partition("?")[0])
+        route = deployment.match(incoming.host, incoming.target.partition("?")[0])
         if route is None:
-            return self._refuse_unknown(arrival, answer, "no route", HTTP_NOT_FOUND)
+            return self._refuse_unknown(incoming, answer, "no route", HTTP_NOT_FOUND)
         account = None
         if deployment.has_accounts and not route.public:
-            account = deployment.account_by_key.get(arrival.api_key or "")
+            account = deployment.account_by_key.get(incoming.api_key or "")
             if account is None:
                 return self._refuse_unknown(
-                    arrival, answer, "unknown key", HTTP_UNAUTHORIZED
+                    incoming, answer, "unknown key", HTTP_UNAUTHORIZED
                 )
-        routed = self._routed(arrival, route, account)
-        return await RoutedRequest(self._parts, routed, answer).serve()
+        routed = self._routed(incoming, route, account)
+        return await RequestExecution(self._parts, routed, answer).serve()
 
     def _routed(
-        self, arrival: Arrival, route: Route, account: AccountGrant | None
-    ) -> Routed:
-        wait_s = arrival.caller_deadline_s
+        self, incoming: IncomingRequest, route: Route, account: AccountGrant | None
+    ) -> RoutedRequest:
+        wait_s = incoming.caller_deadline_s
         if wait_s is None:
             wait_s = DEFAULT_DEADLINE_S
         waited_s = self._usual_deadlines.note(route.name, wait_s)
         limit_s = min(wait_s - ANSWER_MARGIN_S, route.timeout_s)
-        return Routed(
-            arrival=arrival,
+        return RoutedRequest(
+            incoming=incoming,
             route=route,
             service=route.pick_service(self._random),
             account=account,
-            deadline=arrival.arrived_at + max(0.0, limit_s),
-            due=arrival.arrived_at + route.target_s - waited_s,
+            deadline=incoming.arrived_at + max(0.0, limit_s),
+            due=incoming.arrived_at + route.target_s - waited_s,
         )
 
     def _refuse_unknown(
-        self, arrival: Arrival, answer: CallerAnswer, reason: str, status: int
+        self, incoming: IncomingRequest, answer: CallerAnswer, reason: str, status: int
     ) -> web.StreamResponse:
         """Refuse what the configuration does not know.
 
@@ -158,7 +158,7 @@
         log(
             Part.REQUESTS,
             "Refused.",
-            id=arrival.request_id,
+            id=incoming.request_id,
             reason=kind,
             version=self._deployments.number,
         )
--- a/packages/node/src/eelgrass_node/request/admitted.py
+++ b/packages/node/src/eelgrass_node/request/server_selection.py
@@ -5,7 +5,7 @@
 from ..exceptions import RequestRefused
 from ..process.backends import Backend, ServerIncarnation
 from ..process.server_choice import ServerCriteria
-from .serving_parts import ServingParts
+from .serving_context import ServingContext
 
 __all__ = ["admitted_server"]
 
@@ -19,7 +19,7 @@
 MIN_RETRY_S = 0.1
 
 
-async def admitted_server(parts: ServingParts, criteria: ServerCriteria) -> Backend:
+async def admitted_server(parts: ServingContext, criteria: ServerCriteria) -> Backend:
     """Return a server that may get the request now.
 
     Raises :class:`RequestRefused` where there is none, or where those that are left are
--- a/packages/node/src/eelgrass_node/request/serving_parts.py
+++ b/packages/node/src/eelgrass_node/request/serving_context.py
@@ -11,14 +11,14 @@
 from ..process.retry_budget import RetryBudgets
 from ..process.server_choice import ServerCriteria
 from ..process.warm_up import Permit
-from .arrival import Routed, WireCodec
-from .final_times import FinalTimes
+from .final_call_latency import FinalCallLatency
 from .graph import FreeResults, RunItems, StagePlan
+from .incoming_request import RoutedRequest, WireCodec
 
-__all__ = ["ServingParts"]
+__all__ = ["ServingContext"]
 
 
-class ServingParts(msgspec.Struct, frozen=True):
+class ServingContext(msgspec.Struct, frozen=True):
     """What the process lends to a request.
 
     ``choose`` picks a server, ``admit`` gives or denies a permit for one request to it,
@@ -36,15 +36,15 @@
     copy_source: Callable[[Backend, str | None, int], Backend | None]
     data_centre_of: Callable[[str], str]
     has_ended: Callable[[ServerIncarnation], bool]
-    plan: Callable[[Routed], StagePlan]
-    refuse_hopeless: Callable[[Routed], float | None]
+    plan: Callable[[RoutedRequest], StagePlan]
+    infeasible_retry_after_s: Callable[[RoutedRequest], float | None]
     run_items: RunItems
     free_results: FreeResults
-    final_times: FinalTimes
+    final_call_latency: FinalCallLatency
     retries: RetryBudgets
     reach: DataCentreReachability
-    server_gone: Callable[[Backend], None]
-    server_fails: Callable[[Backend], None]
+    on_server_replaced: Callable[[Backend], None]
+    on_server_failing: Callable[[Backend], None]
     poison: PoisonRequests
     count: Callable[[str], None]
     metrics: Metrics
--- a/packages/node/src/eelgrass_node/request/stage_planner.py
+++ b/packages/node/src/eelgrass_node/request/stage_planner.py
@@ -6,10 +6,10 @@
 from ..process.queue_load import QueueLoads
 from ..process.server_choice import ServerCriteria
 from ..version.deployment import Deployment
-from .arrival import Routed
-from .final_times import FinalTimes
+from .final_call_latency import FinalCallLatency
 from .graph import StagePlan
-from .planning import plan_stages, refuse_hopeless
+from .incoming_request import RoutedRequest
+from .planning import infeasible_retry_after_s, plan_stages
 
 __all__ = ["StagePlanner"]
 
@@ -22,19 +22,19 @@
         choose: Callable[[ServerCriteria], Backend | None],
         deployment: Callable[[], Deployment | None],
         queue_loads: QueueLoads,
-        final_times: FinalTimes,
+        final_call_latency: FinalCallLatency,
     ) -> None:
         self._choose = choose
         self._deployment = deployment
         self._queue_loads = queue_loads
-        self._final_times = final_times
+        self._final_call_latency = final_call_latency
 
-    def plan(self, routed: Routed) -> StagePlan:
+    def plan(self, routed: RoutedRequest) -> StagePlan:
         """Return when the stages should be done, near the server to be expected."""
-        prompt = routed.arrival.prompt
+        prompt = routed.incoming.prompt
         criteria = ServerCriteria(
             routed.service,
-            prompt.shared_part(),
+            prompt.prefix_key(),
             prompt.shared_tokens(),
             regions=routed.regions,
         )
@@ -42,12 +42,12 @@
         near = "" if expected is None else expected.entry.data_centre
         return plan_stages(routed, self._deployment(), near, self._final_s(routed))
 
-    def refuse_hopeless(self, routed: Routed) -> float | None:
+    def infeasible_retry_after_s(self, routed: RoutedRequest) -> float | None:
         """Return when to come back, in seconds, where the stages have no chance."""
-        return refuse_hopeless(
+        return infeasible_retry_after_s(
             routed, self._deployment(), self._queue_loads, self._final_s(routed)
         )
 
-    def _final_s(self, routed: Routed) -> float:
+    def _final_s(self, routed: RoutedRequest) -> float:
         """Return how long a request takes once its stages are done."""
-        return self._final_times.expected_s(routed.route.name)
+        return self._final_call_latency.expected_s(routed.route.name)
--- a/packages/node/src/eelgrass_node/request/stages.py
+++ b/packages/node/src/eelgrass_node/request/stages.py
@@ -39,7 +39,7 @@
     dispatch: Dispatch
     budget: RetryBudget
     first_byte_floor_s: float
-    between_floor_s: float
+    chunk_gap_floor_s: float
     on_retry: Callable[[RetryReason], None]
     on_discard: Callable[[DiscardReason], None]
     on_leaving: Callable[[Backend], None]
@@ -83,7 +83,7 @@
                 self._queue.release(backend)
             if result.outcome is AttemptOutcome.COMPLETED:
                 backend.record_success()
-                return StageResult(result.output, result.pieces)
+                return StageResult(result.output, result.chunks)
             if result.reason is RetryReason.BACKEND_OVERLOADED:
                 # Back to the queue, where it keeps its place by priority and
                 # deadline: a full server is no failure and costs it nothing.
@@ -170,7 +170,7 @@
         cost.attempts += 1
         if result.outcome is AttemptOutcome.COMPLETED:
             cost.useful_ms += result.cost_ms or 0.0
-            cost.tokens += result.pieces
+            cost.tokens += result.chunks
         elif result.cost_ms is None:
             cost.unreported += 1
         else:
@@ -214,7 +214,7 @@
         if self._stage.kind is not StageKind.GENERATE:
             return None
         expected = self._queue.token_interval_s.upper(SILENCE_DEVIATIONS) * 4
-        between_s = max(self._environment.between_floor_s, expected)
+        between_s = max(self._environment.chunk_gap_floor_s, expected)
         return Generation(
             emit, between_s, self._queue.first_token_s, self._queue.token_interval_s
         )
--- a/packages/node/src/eelgrass_node/request/usual_deadline.py
+++ b/packages/node/src/eelgrass_node/request/typical_deadline.py
@@ -11,7 +11,7 @@
 
 from collections import Counter, deque
 
-__all__ = ["UsualDeadlines"]
+__all__ = ["TypicalDeadlines"]
 
 # Figures that are remembered of a route: a few seconds of a burst.
 REMEMBERED = 64
@@ -21,7 +21,7 @@
 USUAL_FRACTION = 0.3
 
 
-class UsualDeadlines:
+class TypicalDeadlines:
     """The figure that most callers of each route state, in seconds."""
 
     def __init__(self) -> None:
--- a/packages/node/tests/test_attempts.py
+++ b/packages/node/tests/test_attempts.py
@@ -91,7 +91,7 @@
         dispatch=Dispatch(backends, lambda: choose, order, Admission.ALL),
         budget=RetryBudget(0.1, 10),
         first_byte_floor_s=0.25,
-        between_floor_s=0.25,
+        chunk_gap_floor_s=0.25,
         on_retry=lambda reason: None,
         on_discard=lambda reason: None,
         on_cost_unknown=lambda attempt: None,
--- a/packages/node/tests/test_fingerprint.py
+++ b/packages/node/tests/test_fingerprint.py
@@ -8,8 +8,8 @@
 
 
 def changed(request, **fields):
-    arrival = msgspec.structs.replace(request.arrival, **fields)
-    return msgspec.structs.replace(request, arrival=arrival)
+    incoming = msgspec.structs.replace(request.incoming, **fields)
+    return msgspec.structs.replace(request, incoming=incoming)
 
 
 class TestFingerprint:
--- a/packages/node/tests/test_large_bodies.py
+++ b/packages/node/tests/test_large_bodies.py
@@ -21,9 +21,9 @@
 from eelgrass_node.platform import names, requests
 from eelgrass_node.process.backends import Backend, HostEntry
 from eelgrass_node.request.attempt import Attempt, AttemptOutcome, run_call
-from eelgrass_node.request.exchange import EngineCall
+from eelgrass_node.request.engine_call import EngineCall
 from eelgrass_node.request.model import CallerRequest
-from eelgrass_node.request.routed import PLAIN_SILENCE_S
+from eelgrass_node.request.request_execution import PLAIN_SILENCE_S
 from eelgrass_node.version import Pipeline, Stage, StageKind
 from eelgrass_standins.ports import free_addresses
 from support.batching import routed
@@ -168,10 +168,10 @@
     async def call(self, server, body):
         deadline = asyncio.get_running_loop().time() + 6.0
         request = routed(deadline_s=deadline)
-        arrival = msgspec.structs.replace(
-            request.arrival, headers=((names.ATTEMPT_ID, "id"),), body=body
+        incoming = msgspec.structs.replace(
+            request.incoming, headers=((names.ATTEMPT_ID, "id"),), body=body
         )
-        request = msgspec.structs.replace(request, arrival=arrival)
+        request = msgspec.structs.replace(request, incoming=incoming)
         backend = server.backend()
         call = EngineCall(requests, request, backend, (), PLAIN_SILENCE_S, lambda: None)
         yield call
--- a/packages/node/tests/test_overload.py
+++ b/packages/node/tests/test_overload.py
@@ -7,7 +7,7 @@
 from eelgrass_node.process.batch_items import ItemFailure
 from eelgrass_node.process.overload import CALM_S, Overload
 from eelgrass_node.process.queue_load import FADE_S, QueueLoad, QueueLoads
-from eelgrass_node.request.planning import refuse_hopeless
+from eelgrass_node.request.planning import infeasible_retry_after_s
 from eelgrass_node.version.deployment import ServiceName
 from support.batching import Service, deployment, items, routed, server
 
@@ -68,6 +68,6 @@
         load = QueueLoad(((1, 9.0),), late_s=2.0, overload_s=8.0)
         loads.receive(ServiceName("archive"), load)
         # The wait there makes it late by some 7 s; it has been so for 8 s.
-        assert refuse_hopeless(routed(), deployment(), loads, 0.35) == 8.0
+        assert infeasible_retry_after_s(routed(), deployment(), loads, 0.35) == 8.0
         now[0] = FADE_S
         assert loads.overload_s([ServiceName("archive")]) == 0.0
--- a/packages/node/tests/test_planning.py
+++ b/packages/node/tests/test_planning.py
@@ -5,13 +5,13 @@
 import pytest
 
 from eelgrass_node.process.queue_load import FADE_S, QueueLoad, QueueLoads
-from eelgrass_node.request.final_times import UNKNOWN_S, FinalTimes
+from eelgrass_node.request.final_call_latency import UNKNOWN_S, FinalCallLatency
 from eelgrass_node.request.planning import (
     GIVE_UP_FRACTION,
+    infeasible_retry_after_s,
     plan_stages,
-    refuse_hopeless,
 )
-from eelgrass_node.request.usual_deadline import UsualDeadlines
+from eelgrass_node.request.typical_deadline import TypicalDeadlines
 from eelgrass_node.version.deployment import (
     RouteKind,
     ServiceName,
@@ -71,13 +71,13 @@
 
     @pytest.mark.parametrize("took_s", [0.02, 0.2, 2.0])
     def test_it_adapts_to_engines_ten_times_faster_or_slower(self, took_s):
-        times = FinalTimes()
+        times = FinalCallLatency()
         for number in range(60):
             times.note("r", took_s * (0.8 + 0.4 * (number % 2)))
         assert took_s <= times.expected_s("r") <= 1.5 * took_s
 
     def test_three_of_four_answers_begin_within_it(self):
-        times = FinalTimes()
+        times = FinalCallLatency()
         draw = random.Random(1)
         taken = [draw.gammavariate(2.0, 0.06) for _ in range(800)]
         for took_s in taken:
@@ -86,12 +86,12 @@
         assert within >= 0.65 * len(taken)
 
     def test_a_single_answer_says_little(self):
-        times = FinalTimes()
+        times = FinalCallLatency()
         times.note("r", 5.0)
         assert times.expected_s("r") < 2.0
 
     def test_routes_do_not_share_it(self):
-        times = FinalTimes()
+        times = FinalCallLatency()
         for _ in range(50):
             times.note("slow", 3.0)
         assert times.expected_s("other") == UNKNOWN_S
@@ -102,7 +102,7 @@
         plan = plan_stages(request, deployment(), "a", 60.0)
         assert plan.deadline_by_stage[0] >= 2.0
         loads = QueueLoads(Clock())
-        assert refuse_hopeless(request, deployment(), loads, 60.0) is None
+        assert infeasible_retry_after_s(request, deployment(), loads, 60.0) is None
 
     def test_stages_have_more_time_before_fast_engines(self):
         slow = plan_stages(routed(), deployment(), "a", 1.0)
@@ -114,13 +114,13 @@
     """Refused callers come back; their time counts from their first try."""
 
     def test_one_that_comes_back_has_waited_for_what_it_states_less(self):
-        usual = UsualDeadlines()
+        usual = TypicalDeadlines()
         assert [usual.note("r", 10.0) for _ in range(5)] == [0.0] * 5
         assert usual.note("r", 6.4) == pytest.approx(3.6)
         assert usual.note("r", 10.0) == 0.0
 
     def test_an_overload_in_which_more_come_back_than_come_first(self):
-        usual = UsualDeadlines()
+        usual = TypicalDeadlines()
         waited = []
         for number in range(200):
             usual.note("r", 10.0)
@@ -128,19 +128,19 @@
         assert all(waited_s >= 3.0 for waited_s in waited[1:])
 
     def test_callers_without_a_usual_figure_have_waited_for_nothing(self):
-        usual = UsualDeadlines()
+        usual = TypicalDeadlines()
         assert not any(usual.note("r", 3.0 + n / 10) for n in range(100))
 
     def test_a_new_usual_figure_is_taken_up(self):
         """A configuration or its callers change; nothing is kept of before."""
-        usual = UsualDeadlines()
+        usual = TypicalDeadlines()
         for _ in range(100):
             usual.note("r", 10.0)
         waited = [usual.note("r", 5.0) for _ in range(64)]
         assert waited[-1] == 0.0 and usual.note("r", 4.0) == 1.0
 
     def test_routes_do_not_share_it(self):
-        usual = UsualDeadlines()
+        usual = TypicalDeadlines()
         for _ in range(5):
             usual.note("r", 10.0)
         assert usual.note("other", 5.0) == 0.0
@@ -154,11 +154,14 @@
         return loads
 
     def test_a_request_with_idle_stages_is_let_in(self):
-        assert refuse_hopeless(routed(), deployment(), self.loads(), FINAL_S) is None
+        assert (
+            infeasible_retry_after_s(routed(), deployment(), self.loads(), FINAL_S)
+            is None
+        )
 
     def test_a_long_queue_before_a_late_stage_refuses_at_the_door(self):
         load = QueueLoad(((1, 3.0),), late_s=2.0)
-        again_s = refuse_hopeless(
+        again_s = infeasible_retry_after_s(
             routed(), deployment(), self.loads(archive=load), FINAL_S
         )
         assert again_s is not None and again_s >= 2.0
@@ -166,12 +169,12 @@
     def test_a_late_one_is_let_in_where_few_late_ones_wait(self):
         load = QueueLoad(((1, 3.0),), late_s=0.1)
         loads = self.loads(archive=load)
-        assert refuse_hopeless(routed(), deployment(), loads, FINAL_S) is None
+        assert infeasible_retry_after_s(routed(), deployment(), loads, FINAL_S) is None
 
     def test_waits_of_less_urgent_requests_do_not_count(self):
         load = QueueLoad(((2, 9.0),), late_s=9.0)
         loads = self.loads(archive=load)
-        assert refuse_hopeless(routed(), deployment(), loads, FINAL_S) is None
+        assert infeasible_retry_after_s(routed(), deployment(), loads, FINAL_S) is None
 
     def test_what_was_heard_fades(self):
         clock = Clock()
--- a/packages/node/tests/test_platform_codecs.py
+++ b/packages/node/tests/test_platform_codecs.py
@@ -18,7 +18,7 @@
 from eelgrass_node.process.backends import BackendState, ServerIncarnation
 from eelgrass_node.process.batch_items import BatchItem, ItemFailure, ItemOutcome
 from eelgrass_node.process.warm_up import WarmUpBounds
-from eelgrass_node.request.arrival import Routed
+from eelgrass_node.request.incoming_request import RoutedRequest
 from eelgrass_node.version.deployment import AccountGrant, RouteKind, ServiceName
 
 REGIONS = {"south": "s", "a": "r"}
@@ -69,9 +69,9 @@
     return msgspec.json.encode({**whole, **changes})
 
 
-def arrival(headers=(), target="/a/x?q=%2f", body=b""):
+def incoming(headers=(), target="/a/x?q=%2f", body=b""):
     raw = ((b"Host", b"pule.example"), (b"Eelgrassward-Attempt-Id", b"id1"), *headers)
-    return requests.decode_arrival("POST", target, raw, body, 0.0)
+    return requests.decode_request("POST", target, raw, body, 0.0)
 
 
 class TestSettings:
@@ -245,7 +245,7 @@
 
 class TestRequests:
     def test_what_a_caller_may_not_set_is_dropped(self):
-        found = arrival(
+        found = incoming(
             (
                 (b"Authorization", b"Bearer k1"),
                 (b"Eelgrassward-Tenant", b"other"),
@@ -270,8 +270,8 @@
         deployment = decode_deployment(configuration())
         route = deployment.match("pule.example", "/a/")
         grant = AccountGrant("t1", 1)
-        found = arrival(((b"Eelgrassward-Deadline-Ms", b"6000"),))
-        routed = Routed(found, route, ServiceName("s1"), grant, 6.0, 1.5)
+        found = incoming(((b"Eelgrassward-Deadline-Ms", b"6000"),))
+        routed = RoutedRequest(found, route, ServiceName("s1"), grant, 6.0, 1.5)
         headers = requests.encode_request(routed, "i-1", 4.2, ("a:1/h", "b:1/h"), "12")
         assert headers["Eelgrassward-Deadline-Ms"] == "4200"
         assert headers["Eelgrassward-Expect-Engine"] == "i-1"
@@ -284,7 +284,7 @@
 
     def test_the_engine_from_which_shared_parts_are_copied(self):
         route = decode_deployment(configuration()).match("pule.example", "/a/")
-        routed = Routed(arrival(()), route, ServiceName("s1"), None, 6.0, 1.5)
+        routed = RoutedRequest(incoming(()), route, ServiceName("s1"), None, 6.0, 1.5)
         headers = requests.encode_request(routed, "i-1", 4.2, (), None, "10.0.0.2:80")
         assert headers["Kv-Fetch"] == "10.0.0.2:80"
 
@@ -303,24 +303,24 @@
     )
     def test_malformed_headers_reach_no_server(self, header):
         with pytest.raises(RequestMalformed):
-            arrival((header,))
+            incoming((header,))
 
     def test_a_request_without_id_is_malformed(self):
         with pytest.raises(RequestMalformed):
-            requests.decode_arrival("GET", "/", ((b"Host", b"h"),), b"", 0.0)
+            requests.decode_request("GET", "/", ((b"Host", b"h"),), b"", 0.0)
 
     def test_a_strange_prompt_only_loses_its_placement(self):
-        found = arrival(((b"Eelgrassward-Prompt-Prefix", b"a:b,c"),))
-        assert found.prompt.shared_part() is None
+        found = incoming(((b"Eelgrassward-Prompt-Prefix", b"a:b,c"),))
+        assert found.prompt.prefix_key() is None
 
     def test_shape_of_a_prompt(self):
-        found = arrival(
+        found = incoming(
             (
                 (b"Eelgrassward-Prompt-Prefix", b"aa:800,bb:410,cc:250"),
                 (b"Eelgrassward-Token-Usage", b"1460,80"),
             )
         )
-        assert found.prompt.shared_part() == "bb"
+        assert found.prompt.prefix_key() == "bb"
         assert found.prompt.shared_tokens() == 1210
         assert (found.prompt.tokens_in, found.prompt.tokens_out) == (1460, 80)
 
--- a/packages/node/tests/test_server_lives.py
+++ b/packages/node/tests/test_server_lives.py
@@ -14,7 +14,7 @@
 from eelgrass_node.process.backends import Backends, HostEntry, ServerIncarnation
 from eelgrass_node.process.batch_items import BatchItem, ItemFailure, ItemOutcome
 from eelgrass_node.process.crash_detector import Fingerprint
-from eelgrass_node.request.exchange import EngineCall
+from eelgrass_node.request.engine_call import EngineCall
 from eelgrass_node.request.graph import StageGraph, StagePlan
 from eelgrass_node.version.deployment import BatchStage, ServiceName
 from support.batching import Service, items, routed, server
@@ -82,7 +82,7 @@
         await graph.run()
         freed_before = list(lives.freed)
         lives.current = SECOND
-        assert graph.outdated()
+        assert graph.has_lost_results()
         graph.release()
         assert lives.freed == freed_before
 
@@ -90,7 +90,7 @@
         lives = Lives()
         graph = lives.graph()
         await graph.run()
-        assert not graph.outdated()
+        assert not graph.has_lost_results()
         graph.release()
         assert "s1/0" in lives.freed
 
--- a/tests/support/batching.py
+++ b/tests/support/batching.py
@@ -7,7 +7,11 @@
 from eelgrass_node.process.batch_items import BatchItem, ItemOutcome
 from eelgrass_node.process.batch_queue import BatchQueue
 from eelgrass_node.process.reachability import DataCentreReachability
-from eelgrass_node.request.arrival import Arrival, PromptShape, Routed
+from eelgrass_node.request.incoming_request import (
+    IncomingRequest,
+    PromptShape,
+    RoutedRequest,
+)
 from eelgrass_node.version.deployment import (
     BatchLimits,
     BatchStage,
@@ -144,7 +148,7 @@
         public=False,
         resumable=True,
     )
-    arrival = Arrival(
+    incoming = IncomingRequest(
         request_id="id",
         method="POST",
         target="/r/x",
@@ -159,7 +163,9 @@
         item_key="key",
         prompt=PromptShape(),
     )
-    return Routed(arrival, route, ServiceName("readers"), None, deadline_s, target_s)
+    return RoutedRequest(
+        incoming, route, ServiceName("readers"), None, deadline_s, target_s
+    )
 
 
 def _limits(batch, item_s, memory=21e6):
--- a/tests/test_users_platform.py
+++ b/tests/test_users_platform.py
@@ -6,7 +6,7 @@
 import pytest
 
 from eelgrass_node.process import platform_tables, table_relay
-from eelgrass_node.request import routed
+from eelgrass_node.request import request_execution
 from eelgrass_standins.users_engines import EngineFault
 from support.connections import connect
 from support.entry import (
@@ -340,7 +340,7 @@
     async def test_results_freed_past_their_owner_make_room_for_others(
         self, entry, monkeypatch
     ):
-        monkeypatch.setattr(routed, "FETCHED_S", 0.3)
+        monkeypatch.setattr(request_execution, "RESULT_FETCH_S", 0.3)
         at_owner, elsewhere = self.owner_and_other(entry, "portal")
         asks = [
             asyncio.create_task(
