--- a/packages/node/src/eelgrass_node/request/attempt.py
+++ b/packages/node/src/eelgrass_node/request/attempt.py
@@ -1,8 +1,8 @@
 """One attempt at a stage, and what is known of it afterwards.
 
-An attempt is NOT_RUN only where no connection came about, or where the back
-end says, naming this very attempt, that it did not start. Whatever fails after
-the call may have left the node is UNKNOWN.
+An attempt is NOT_RUN only if no connection was established, or if the backend server
+reports, with the id of this attempt, that it did not start. Any failure after the call
+may have left the node makes it UNKNOWN.
 """
 
 import asyncio
@@ -41,7 +41,7 @@
 
 
 class AttemptResult(msgspec.Struct, frozen=True):
-    """How an attempt ended; ``cost_ms`` is None where no back end reported it."""
+    """How an attempt ended; ``cost_ms`` is None if no backend server reported it."""
 
     outcome: AttemptOutcome
     output: Any = None
@@ -51,18 +51,18 @@
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """What an attempt needs to know.
+    """The parameters and callbacks of an attempt.
 
-    ``silence_s`` is how long the connection may say nothing once the call has had
-    time to go out, in seconds. ``on_leaving`` is told where the server says it leaves,
-    and ``on_cost_unknown`` where it has not said what a generation has cost.
+    ``idle_timeout_s`` is how long the connection may be silent, in seconds, once the
+    call has had time to be sent. ``on_leaving`` is called if the server reports that it
+    is leaving, and ``on_cost_unknown`` if it has not reported the cost of a generation.
     """
 
     attempt_id: AttemptId
     request: CallerRequest
     stage: Stage
     backend: Backend
-    silence_s: float
+    idle_timeout_s: float
     on_leaving: Callable[[Backend], None]
     on_discard: Callable[[DiscardReason], None]
     on_cost_unknown: Callable[["Attempt"], None]
@@ -85,18 +85,18 @@
     return AttemptId(new_id("attempt"))
 
 
-def not_run(reason: RetryReason) -> AttemptResult:
-    """Return the result of an attempt that surely did not start."""
+def not_run_result(reason: RetryReason) -> AttemptResult:
+    """Return the result of an attempt that certainly did not start."""
     return AttemptResult(AttemptOutcome.NOT_RUN, reason=reason, cost_ms=0.0)
 
 
-def unknown(reason: RetryReason, cost_ms: float | None = None) -> AttemptResult:
+def unknown_result(reason: RetryReason, cost_ms: float | None = None) -> AttemptResult:
     """Return the result of an attempt that may have run."""
     return AttemptResult(AttemptOutcome.UNKNOWN, reason=reason, cost_ms=cost_ms)
 
 
 async def run_call(attempt: Attempt, stage_input: Any) -> AttemptResult:
-    """Call a pool or plain service once."""
+    """Make one call to a pool or plain service."""
     stage = attempt.stage
     body = msgspec.json.encode(
         {
@@ -107,16 +107,16 @@
             "deadline_ms": attempt.request.remaining() * 1000,
         }
     )
-    return await guarded(attempt, "/v1/run", body, _read_run_answer)
+    return await post_attempt(attempt, "/v1/run", body, _read_run_answer)
 
 
-async def guarded(
+async def post_attempt(
     attempt: Attempt,
     path: str,
     body: bytes,
     read: Callable[..., Any],
 ) -> AttemptResult:
-    """Post a call and turn every way in which it can fail into a result."""
+    """Post a call and convert every kind of failure to a result."""
     connections = attempt.backend.connections
     connections.enter()
     try:
@@ -127,43 +127,44 @@
             connect_s=max(0.001, attempt.request.remaining()),
             reuse=attempt.stage.idempotent,
         )
-        response = await _first_byte(attempt, context, len(body))
+        response = await _await_response(attempt, context, len(body))
         try:
             return await _read_response(attempt, response, read)
         finally:
-            # Closes the connection unless the answer was read to its end.
+            # Closes the connection unless the response was read to its end.
             response.close()
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-        return not_run(RetryReason.CONNECT_FAILED)
+        return not_run_result(RetryReason.CONNECT_FAILED)
     except (aiohttp.ClientError, OSError, msgspec.MsgspecError, ValueError) as error:
-        return unknown(_failure_reason(error))
+        return unknown_result(_failure_reason(error))
     finally:
         connections.leave()
 
 
-async def _first_byte(
+async def _await_response(
     attempt: Attempt, context: Any, sent_bytes: int
 ) -> aiohttp.ClientResponse:
-    bound_s = attempt.silence_s + send_allowance_s(sent_bytes)
-    # What is added ends with the deadline, after which nobody waits for an answer.
-    latest_s = max(attempt.silence_s, attempt.request.remaining())
+    timeout_s = attempt.idle_timeout_s + send_allowance_s(sent_bytes)
+    # The time allowed for sending ends at the deadline, after which nobody waits for
+    # the response.
+    limit_s = max(attempt.idle_timeout_s, attempt.request.remaining())
     try:
-        async with StallAwareTimeout(min(bound_s, latest_s)):
+        async with StallAwareTimeout(min(timeout_s, limit_s)):
             return await context
     except TimeoutError as error:
         if isinstance(error, aiohttp.ConnectionTimeoutError):
             raise
         connections = attempt.backend.connections
         connections.replace()
-        raise SilentConnection from error
+        raise IdleTimeout from error
 
 
-class SilentConnection(aiohttp.ClientError):
-    """Nothing came over a connection for longer than is to be expected."""
+class IdleTimeout(aiohttp.ClientError):
+    """No data arrived on a connection within the idle timeout."""
 
 
 def _failure_reason(error: Exception) -> RetryReason:
-    if isinstance(error, SilentConnection):
+    if isinstance(error, IdleTimeout):
         return RetryReason.CONNECTION_SILENT
     if isinstance(error, (msgspec.MsgspecError, ValueError)):
         return RetryReason.BAD_ANSWER
@@ -178,48 +179,48 @@
     if response.status == HTTP_OK:
         return await read(attempt, response)
     if response.status == HTTP_UNAVAILABLE:
-        return _refusal(attempt, await bounded_read(attempt, response))
-    return unknown(RetryReason.BAD_ANSWER)
+        return _refusal(attempt, await read_body(attempt, response))
+    return unknown_result(RetryReason.BAD_ANSWER)
 
 
 def _refusal(attempt: Attempt, body: bytes) -> AttemptResult:
     refusal = msgspec.json.decode(body, type=_Refusal)
     if refusal.started:
-        return unknown(RetryReason.BACKEND_REFUSED)
+        return unknown_result(RetryReason.BACKEND_REFUSED)
     if refusal.attempt_id != attempt.attempt_id:
         attempt.on_discard(DiscardReason.WRONG_ATTEMPT)
-        return unknown(RetryReason.WRONG_ATTEMPT)
-    return not_run(REFUSALS.get(refusal.error, RetryReason.BACKEND_REFUSED))
+        return unknown_result(RetryReason.WRONG_ATTEMPT)
+    return not_run_result(REFUSALS.get(refusal.error, RetryReason.BACKEND_REFUSED))
 
 
-async def bounded_read(attempt: Attempt, response: aiohttp.ClientResponse) -> bytes:
-    """Read a whole body, which follows its head closely.
+async def read_body(attempt: Attempt, response: aiohttp.ClientResponse) -> bytes:
+    """Read the complete body, which is expected right after the head.
 
-    It may take as long as it goes on coming, until the deadline: a large one on a
-    narrow link is no silence.
+    The idle timeout restarts with each part that arrives, up to the deadline: a large
+    body on a slow link does not count as a silent connection.
     """
     now = asyncio.get_running_loop().time
-    latest = now() + max(attempt.silence_s, attempt.request.remaining())
+    latest = now() + max(attempt.idle_timeout_s, attempt.request.remaining())
     parts: list[bytes] = []
     try:
-        async with StallAwareTimeout(attempt.silence_s) as bound:
+        async with StallAwareTimeout(attempt.idle_timeout_s) as bound:
             async for part in response.content.iter_any():
                 parts.append(part)
-                bound.restart(min(attempt.silence_s, latest - now()))
+                bound.restart(min(attempt.idle_timeout_s, latest - now()))
         return b"".join(parts)
     except TimeoutError as error:
         attempt.backend.connections.replace()
-        raise SilentConnection from error
+        raise IdleTimeout from error
 
 
 async def _read_run_answer(
     attempt: Attempt, response: aiohttp.ClientResponse
 ) -> AttemptResult:
-    body = await bounded_read(attempt, response)
+    body = await read_body(attempt, response)
     answer = msgspec.json.decode(body, type=_RunAnswer)
     if answer.attempt_id != attempt.attempt_id:
         attempt.on_discard(DiscardReason.WRONG_ATTEMPT)
-        return unknown(RetryReason.WRONG_ATTEMPT)
+        return unknown_result(RetryReason.WRONG_ATTEMPT)
     return AttemptResult(
         AttemptOutcome.COMPLETED, output=answer.output, cost_ms=answer.cost_ms
     )
--- a/packages/node/src/eelgrass_node/request/cost_reconciler.py
+++ b/packages/node/src/eelgrass_node/request/cost_reconciler.py
@@ -1,8 +1,8 @@
-"""Costs of attempts that were given up, asked for until the server tells them.
+"""Asks servers for the costs of abandoned attempts until they report them.
 
-The pattern it answers: a server that is slow to answer is slow to answer the cancel,
-too. The next attempt cannot wait for what the last one has cost, and the sum of costs
-is to match what the servers counted.
+A server that responds slowly to a call also responds slowly to its cancellation. The
+next attempt cannot wait until the cost of the last one is known, and yet the sum of
+the costs has to match what the servers counted.
 """
 
 import asyncio
@@ -14,16 +14,17 @@
 
 __all__ = ["CostReconciler"]
 
-# Bounds and pauses in seconds. A server keeps an attempt for 10 s after its end.
-ASK_S = 1.0
-FIRST_PAUSE_S = 0.1
-MAX_ASKS = 4
+# Timeout and first backoff, in seconds. A server remembers an attempt for 10 s after
+# its end.
+CANCEL_TIMEOUT_S = 1.0
+FIRST_BACKOFF_S = 0.1
+MAX_CANCELS = 4
 
 
 class CostReconciler:
-    """Asks servers for costs; ``on_cost`` is told each one as a correction.
+    """Obtains missing costs; ``on_cost`` receives each one as a correction.
 
-    The attempt was counted as one without a known cost before.
+    The attempt has been recorded as one of unknown cost before.
     """
 
     def __init__(self, on_cost: Callable[[CallerRequest, StageCost], None]) -> None:
@@ -31,23 +32,23 @@
         self._tasks: set[asyncio.Task] = set()
 
     def reconcile(self, attempt: Attempt) -> None:
-        """Cancel an attempt and find out what it has cost, without waiting."""
-        task = asyncio.create_task(self._settle(attempt))
+        """Cancel an attempt and obtain its cost in the background."""
+        task = asyncio.create_task(self._reconcile(attempt))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _settle(self, attempt: Attempt) -> None:
+    async def _reconcile(self, attempt: Attempt) -> None:
         answer = None
-        for ask in range(MAX_ASKS):
-            answer = await cancel(attempt, ASK_S)
+        for try_number in range(MAX_CANCELS):
+            answer = await cancel(attempt, CANCEL_TIMEOUT_S)
             if answer is not None and answer.cost_ms is not None:
                 break
-            await asyncio.sleep(FIRST_PAUSE_S * 2**ask)
+            await asyncio.sleep(FIRST_BACKOFF_S * 2**try_number)
         if answer is not None:
             self._correct(attempt, answer)
 
     def _correct(self, attempt: Attempt, answer: CancelAnswer) -> None:
-        # What a server still knows nothing of by now has never begun there.
+        # An attempt that the server still does not know has never started there.
         wasted_ms = answer.cost_ms or 0.0
         correction = StageCost(attempt.stage.name, wasted_ms=wasted_ms, unreported=-1)
         self._on_cost(attempt.request, correction)
--- a/packages/node/src/eelgrass_node/request/generation.py
+++ b/packages/node/src/eelgrass_node/request/generation.py
@@ -1,7 +1,7 @@
-"""A generation stage: a stream of numbered pieces, joined across failures.
+"""A generation stage: a stream of numbered chunks, resumed after failures.
 
-Pieces are taken in order of their number, each once. Where a stream breaks, the
-next attempt says how many pieces were taken and goes on from there.
+Chunks are accepted in the order of their sequence numbers, each once. If a stream
+breaks, the next attempt states how many chunks were accepted and continues from there.
 """
 
 from typing import Any
@@ -17,18 +17,18 @@
     Attempt,
     AttemptOutcome,
     AttemptResult,
-    SilentConnection,
-    guarded,
-    unknown,
+    IdleTimeout,
+    post_attempt,
+    unknown_result,
 )
 from .model import CallerRequest, Emit
 from .reasons import DiscardReason, RetryReason
 
 __all__ = ["CancelAnswer", "Generation", "cancel"]
 
-CANCEL_S = 0.1
-HOPE_FRACTION = 0.8
-MAX_AHEAD = 256
+CANCEL_TIMEOUT_S = 0.1
+FEASIBLE_FRACTION = 0.8
+MAX_OUT_OF_ORDER = 256
 
 
 class _Line(msgspec.Struct):
@@ -42,50 +42,50 @@
 
 
 class CancelAnswer(msgspec.Struct):
-    """What a server says of an attempt that is to end; no cost if it knows none."""
+    """A server's answer to a cancellation; no cost if it does not know the attempt."""
 
     cancelled: bool = False
     cost_ms: float | None = None
 
 
 class Generation:
-    """What one generation stage of one request has produced so far.
+    """The output so far of one generation stage of one request.
 
-    ``between_s`` is the longest expected gap between two pieces, in seconds.
+    ``chunk_gap_timeout_s`` is the longest expected gap between two chunks, in seconds.
     """
 
     def __init__(
         self,
         emit: Emit | None,
-        between_s: float,
-        first_average: MovingAverage,
-        between_average: MovingAverage,
+        chunk_gap_timeout_s: float,
+        first_chunk_average: MovingAverage,
+        chunk_gap_average: MovingAverage,
     ) -> None:
         self._emit = emit
-        self._between_s = between_s
-        self._first_average = first_average
-        self._between_average = between_average
+        self._chunk_gap_timeout_s = chunk_gap_timeout_s
+        self._first_chunk_average = first_chunk_average
+        self._chunk_gap_average = chunk_gap_average
         self._decoder = msgspec.json.Decoder(_Line)
         self._sent_at = 0.0
-        self._first_piece_at = 0.0
+        self._first_chunk_at = 0.0
         self.chunks: list[str] = []
 
     @property
     def text(self) -> str:
-        """Everything generated so far."""
+        """The text generated so far."""
         return "".join(self.chunks)
 
     async def run(self, attempt: Attempt, stage_input: Any) -> AttemptResult:
-        """Make one attempt, which goes on after the pieces already taken."""
+        """Make one attempt, which continues after the chunks already accepted."""
         body = _generate_body(attempt, stage_input, len(self.chunks))
         self._sent_at = running_time()
         try:
-            result = await guarded(attempt, "/v1/generate", body, self._read)
+            result = await post_attempt(attempt, "/v1/generate", body, self._read)
         except BaseException:
             attempt.on_cost_unknown(attempt)
             raise
         if result.outcome is AttemptOutcome.UNKNOWN and result.cost_ms is None:
-            answer = await cancel(attempt, CANCEL_S)
+            answer = await cancel(attempt, CANCEL_TIMEOUT_S)
             if answer is None or answer.cost_ms is None:
                 attempt.on_cost_unknown(attempt)
                 return result
@@ -96,84 +96,86 @@
         self, attempt: Attempt, response: aiohttp.ClientResponse
     ) -> AttemptResult:
         first = len(self.chunks)
-        ahead: dict[int, str] = {}
+        out_of_order: dict[int, str] = {}
         while True:
-            if self._is_hopeless(attempt):
-                return unknown(RetryReason.TOO_SLOW)
+            if self._is_infeasible(attempt):
+                return unknown_result(RetryReason.TOO_SLOW)
             line = await self._next_line(attempt, response)
             if line is None:
-                return unknown(RetryReason.STREAM_CUT)
+                return unknown_result(RetryReason.STREAM_CUT)
             if line.attempt_id != attempt.attempt_id:
                 attempt.on_discard(DiscardReason.WRONG_ATTEMPT)
-                return unknown(RetryReason.WRONG_ATTEMPT)
+                return unknown_result(RetryReason.WRONG_ATTEMPT)
             if line.final:
-                taken = len(self.chunks) - first
-                self._note_pace(taken)
-                return _final_result(line, taken, self.text, len(self.chunks))
+                accepted = len(self.chunks) - first
+                self._record_chunk_gap(accepted)
+                return _final_result(line, accepted, self.text, len(self.chunks))
             if line.seq == 0:
-                self._first_piece_at = running_time()
-                self._first_average.record(self._first_piece_at - self._sent_at)
-            if not await self._take(attempt, line, first, ahead):
-                return unknown(RetryReason.BAD_ANSWER)
+                self._first_chunk_at = running_time()
+                self._first_chunk_average.record(self._first_chunk_at - self._sent_at)
+            if not await self._accept_line(attempt, line, first, out_of_order):
+                return unknown_result(RetryReason.BAD_ANSWER)
 
-    def _is_hopeless(self, attempt: Attempt) -> bool:
-        """Return whether the rest cannot be had within the deadline."""
+    def _is_infeasible(self, attempt: Attempt) -> bool:
+        """Return whether the rest cannot be generated before the deadline."""
         remaining_s = attempt.request.remaining()
         if remaining_s <= 0:
             return True
-        left = int(attempt.stage.max_tokens) - len(self.chunks)
-        expected_s = left * self._between_average.mean
-        return expected_s * HOPE_FRACTION > remaining_s
+        chunks_left = int(attempt.stage.max_tokens) - len(self.chunks)
+        expected_s = chunks_left * self._chunk_gap_average.mean
+        return expected_s * FEASIBLE_FRACTION > remaining_s
 
-    def _note_pace(self, taken: int) -> None:
-        if taken > 1:
-            took_s = running_time() - self._first_piece_at
-            self._between_average.record(took_s / (taken - 1))
+    def _record_chunk_gap(self, accepted: int) -> None:
+        if accepted > 1:
+            took_s = running_time() - self._first_chunk_at
+            self._chunk_gap_average.record(took_s / (accepted - 1))
 
     async def _next_line(
         self, attempt: Attempt, response: aiohttp.ClientResponse
     ) -> _Line | None:
         try:
-            bound_s = min(self._between_s, max(0.0, attempt.request.remaining()))
-            async with StallAwareTimeout(bound_s):
+            timeout_s = min(
+                self._chunk_gap_timeout_s, max(0.0, attempt.request.remaining())
+            )
+            async with StallAwareTimeout(timeout_s):
                 raw = await response.content.readline()
         except TimeoutError as error:
             if attempt.request.remaining() > 0:
                 attempt.backend.connections.replace()
-            raise SilentConnection from error
+            raise IdleTimeout from error
         if not raw.endswith(b"\n"):
             return None
         return self._decoder.decode(raw)
 
-    async def _take(
-        self, attempt: Attempt, line: _Line, first: int, ahead: dict[int, str]
+    async def _accept_line(
+        self, attempt: Attempt, line: _Line, first: int, out_of_order: dict[int, str]
     ) -> bool:
         seq = first + line.seq
-        if seq < len(self.chunks) or seq in ahead:
+        if seq < len(self.chunks) or seq in out_of_order:
             attempt.on_discard(DiscardReason.REPEATED_PIECE)
             return True
-        if len(ahead) >= MAX_AHEAD:
+        if len(out_of_order) >= MAX_OUT_OF_ORDER:
             attempt.on_discard(DiscardReason.TOO_FAR_AHEAD)
             return False
-        ahead[seq] = line.text
-        while len(self.chunks) in ahead:
-            text = ahead.pop(len(self.chunks))
+        out_of_order[seq] = line.text
+        while len(self.chunks) in out_of_order:
+            text = out_of_order.pop(len(self.chunks))
             self.chunks.append(text)
-            await self._pass_on(text)
+            await self._emit_chunk(text)
         return True
 
-    async def _pass_on(self, text: str) -> None:
+    async def _emit_chunk(self, text: str) -> None:
         if self._emit is None:
             return
         try:
             await self._emit(text)
         except ConnectionResetError as error:
-            # Of the caller's connection, not of the engine's.
+            # The caller's connection was reset, not the engine's.
             raise CallerGone from error
 
 
 async def cancel(attempt: Attempt, within_s: float) -> CancelAnswer | None:
-    """Stop an attempt that is of no more use; None where no answer comes in time."""
+    """Cancel an attempt; return None if the server does not answer in time."""
     body = msgspec.json.encode({"attempt_id": attempt.attempt_id})
     connections = attempt.backend.connections
     connections.enter()
@@ -191,11 +193,11 @@
         connections.leave()
 
 
-def _final_result(line: _Line, taken: int, text: str, chunks: int) -> AttemptResult:
+def _final_result(line: _Line, accepted: int, text: str, chunks: int) -> AttemptResult:
     if line.cancelled:
-        return unknown(RetryReason.CANCELLED_BY_BACKEND, line.cost_ms)
-    if line.count != taken:
-        return unknown(RetryReason.STREAM_CUT, line.cost_ms)
+        return unknown_result(RetryReason.CANCELLED_BY_BACKEND, line.cost_ms)
+    if line.count != accepted:
+        return unknown_result(RetryReason.STREAM_CUT, line.cost_ms)
     return AttemptResult(
         AttemptOutcome.COMPLETED,
         output={"text": text},
@@ -223,5 +225,5 @@
 
 
 def prompt_of(stage_input: Any) -> str:
-    """Return the prompt of a generation: the caller's input, then the context."""
+    """Return the prompt of a generation: the stage input, encoded as JSON."""
     return msgspec.json.encode(stage_input).decode()
--- a/packages/node/src/eelgrass_node/request/model.py
+++ b/packages/node/src/eelgrass_node/request/model.py
@@ -1,4 +1,4 @@
-"""A caller's request and its answer, as values."""
+"""Data structures for a caller's request, its results and its costs."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,10 +16,10 @@
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
-    """A request that passed all checks of its form.
+    """A request that has passed validation.
 
-    ``deadline`` is on the clock of the event loop, in seconds; ``deadline_ms``
-    is what was asked for.
+    ``deadline`` is in seconds on the event loop's clock; ``deadline_ms`` is the
+    duration that was asked for.
     """
 
     request_id: str
@@ -33,18 +33,18 @@
 
     @property
     def account(self) -> AccountName:
-        """The client account that asks."""
+        """The client account that makes the request."""
         return self.pipeline.account
 
     def remaining(self) -> float:
-        """Return the seconds left until the deadline; negative once it passed."""
+        """Return the seconds left until the deadline; negative once it has passed."""
         return self.deadline - asyncio.get_running_loop().time()
 
 
 class StageCost(msgspec.Struct):
-    """What a stage of a request has cost, in milliseconds of back-end time.
+    """The cost of a stage of a request, in milliseconds of backend server time.
 
-    ``unreported`` counts attempts whose back end could not say what they cost.
+    ``unreported`` counts attempts whose backend server has not reported their cost.
     """
 
     stage: str
@@ -56,14 +56,14 @@
 
 
 class StageResult(msgspec.Struct, frozen=True):
-    """The whole result of one stage; ``pieces`` counts those of a stream."""
+    """The complete result of one stage; ``chunks`` counts those of a stream."""
 
     output: Any
     chunks: int = 0
 
 
 class PipelineResult(msgspec.Struct, frozen=True):
-    """The whole answer of a pipeline."""
+    """The complete result of a pipeline."""
 
     output: Any
     chunks: int
--- a/packages/node/src/eelgrass_node/request/pipeline.py
+++ b/packages/node/src/eelgrass_node/request/pipeline.py
@@ -1,4 +1,4 @@
-"""Runs the stages of a request one after the other under its deadline."""
+"""Runs the stages of a request one after the other within its deadline."""
 
 from collections.abc import Callable
 
@@ -12,11 +12,11 @@
 
 _SEVERITY = {Outcome.NOT_RUN: 0, Outcome.NO_EFFECT: 1, Outcome.UNKNOWN: 2}
 
-NoteCost = Callable[[CallerRequest, StageCost], None]
+RecordCost = Callable[[CallerRequest, StageCost], None]
 
 
 def worst_outcome(first: Outcome, second: Outcome) -> Outcome:
-    """Return the outcome that promises less."""
+    """Return the outcome that guarantees less."""
     return max(first, second, key=_SEVERITY.__getitem__)
 
 
@@ -24,12 +24,12 @@
     environment: StageEnvironment,
     request: CallerRequest,
     emit: Emit | None,
-    note_cost: NoteCost,
+    record_cost: RecordCost,
 ) -> PipelineResult:
-    """Run all stages and return the whole answer; raises :class:`Refused`.
+    """Run all stages and return the complete result; raises :class:`Refused`.
 
-    ``emit`` receives the pieces of the last stage where it generates.
-    ``note_cost`` is told the cost of each stage, also of one that failed.
+    ``emit`` receives the chunks of the last stage if it is a generation.
+    ``record_cost`` is called with the cost of each stage, including one that failed.
     """
     stages = request.pipeline.stages
     costs: list[StageCost] = []
@@ -53,7 +53,7 @@
             refused.outcome = worst_outcome(so_far, refused.outcome)
             raise
         finally:
-            note_cost(request, run.cost)
+            record_cost(request, run.cost)
         costs.append(run.cost)
         so_far = worst_outcome(so_far, outcome_after(stage))
         output = result.output
@@ -64,5 +64,5 @@
 
 
 def outcome_after(stage: Stage) -> Outcome:
-    """Return what may be said of a request once ``stage`` has run."""
+    """Return the outcome of a request that fails after ``stage`` has run."""
     return Outcome.NO_EFFECT if stage.idempotent else Outcome.UNKNOWN
--- a/packages/node/src/eelgrass_node/request/stages.py
+++ b/packages/node/src/eelgrass_node/request/stages.py
@@ -1,7 +1,7 @@
 """Runs one stage of a request: attempts, retries and their limits.
 
-There is one layer of retries, and this is it. An attempt that did not run is
-repeated elsewhere; one that may have run only where the stage is idempotent.
+This is the only layer that retries. An attempt that did not run is retried at another
+server; one that may have run is retried only if the stage is idempotent.
 """
 
 from collections.abc import Callable
@@ -23,17 +23,17 @@
 __all__ = ["StageEnvironment", "StageRun"]
 
 MAX_ATTEMPTS = 4
-FREE_REASONS = frozenset({RetryReason.BACKEND_LEAVING})
-SILENCE_DEVIATIONS = 6.0
-# The part of its expected time without which a stage is not begun.
-OWN_FRACTION = 0.8
+UNCOUNTED_REASONS = frozenset({RetryReason.BACKEND_LEAVING})
+TIMEOUT_DEVIATIONS = 6.0
+# A stage is not started with less than this fraction of its expected run time left.
+MIN_RUN_FRACTION = 0.8
 
 
 class StageEnvironment(msgspec.Struct, frozen=True):
-    """What the process lends to a stage.
+    """The parts of the process that a stage uses, and callbacks to it.
 
-    ``first_byte_floor_s`` and ``between_floor_s`` are the shortest bounds on a
-    connection's silence, in seconds.
+    ``first_byte_floor_s`` and ``chunk_gap_floor_s`` are the shortest timeouts for a
+    silent connection, in seconds: before the first byte and between chunks.
     """
 
     dispatch: Dispatch
@@ -47,9 +47,9 @@
 
 
 class StageRun:
-    """One stage of one request under way.
+    """One stage of one request in progress.
 
-    ``dispatched`` says whether an attempt that may have had an effect began.
+    ``dispatched`` is whether an attempt that may have had an effect has started.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self.cost = StageCost(stage.name)
 
     async def run(self, stage_input: Any) -> StageResult:
-        """Run the stage to its whole result; raises :class:`Refused`."""
+        """Run the stage until its result is complete; raises :class:`Refused`."""
         self._environment.budget.record_request()
         while True:
             backend = await self._acquire()
@@ -85,8 +85,8 @@
                 backend.record_success()
                 return StageResult(result.output, result.chunks)
             if result.reason is RetryReason.BACKEND_OVERLOADED:
-                # Back to the queue, where it keeps its place by priority and
-                # deadline: a full server is no failure and costs it nothing.
+                # The request returns to the queue, where it keeps its position by
+                # priority and deadline: a full server does not count as a failure.
                 self._environment.on_retry(result.reason)
                 continue
             if result.reason is not RetryReason.TOO_SLOW:
@@ -96,26 +96,26 @@
 
     async def _acquire(self) -> Backend:
         request = self._request
-        own_s = self._queue.expected_run(self._stage) * OWN_FRACTION
-        latest = request.deadline - self._rest_s - own_s
+        min_run_s = self._queue.expected_run(self._stage) * MIN_RUN_FRACTION
+        latest = request.deadline - self._rest_s - min_run_s
         try:
             return await self._queue.acquire(request, self._tried, latest)
         except TimeoutError as error:
             raise Refused(
                 RefusalReason.DEADLINE_INFEASIBLE,
                 self._outcome(),
-                f"Stage {self._stage.name!r} got no server in time.",
+                f"No server was available in time for stage {self._stage.name!r}.",
                 self._queue.retry_after(),
             ) from error
         except Refused as refused:
-            # Attempts before this one may have run.
+            # Earlier attempts may have run, which the queue does not know.
             raise Refused(
                 refused.reason, self._outcome(), refused.detail, refused.retry_after
             ) from refused
 
     async def _attempt(self, backend: Backend, stage_input: Any) -> AttemptResult:
-        # Checked here and not before the wait: the process may have been
-        # paused since, and the caller may have given up long ago.
+        # Checked after the wait in the queue: the process may have stalled meanwhile,
+        # and the caller may have given up long ago.
         if self._request.remaining() <= 0:
             raise Refused(RefusalReason.DEADLINE_PASSED, self._outcome())
         attempt = self._new_attempt(backend)
@@ -125,13 +125,13 @@
         try:
             result = await self._run_attempt(attempt, stage_input)
         except BaseException:
-            # Given up from outside; what it has cost is told later, if at all.
+            # Cancelled from outside; the cost is reported later, if at all.
             self.cost.attempts += 1
             self.cost.unreported += 1
             raise
         if result.outcome is AttemptOutcome.NOT_RUN:
             self.dispatched = was_dispatched
-        self._note(backend, result, running_time() - started)
+        self._record_cost(backend, result, running_time() - started)
         return result
 
     async def _run_attempt(self, attempt: Attempt, stage_input: Any) -> AttemptResult:
@@ -146,24 +146,26 @@
             request=self._request,
             stage=self._stage,
             backend=backend,
-            silence_s=self._silence_bound(),
+            idle_timeout_s=self._first_byte_timeout_s(),
             on_leaving=environment.on_leaving,
             on_discard=environment.on_discard,
             on_cost_unknown=environment.on_cost_unknown,
         )
 
-    def _silence_bound(self) -> float:
+    def _first_byte_timeout_s(self) -> float:
         remaining = max(0.001, self._request.remaining())
         if not self._stage.idempotent:
-            # Nothing is won by giving up early: it may not be repeated.
+            # Giving up early gains nothing, because the stage may not be retried.
             return remaining
         average = self._queue.service_time_s
         if self._generation is not None:
             average = self._queue.first_token_s
-        expected = average.upper(SILENCE_DEVIATIONS) * 2
+        expected = average.upper(TIMEOUT_DEVIATIONS) * 2
         return min(remaining, max(self._environment.first_byte_floor_s, expected))
 
-    def _note(self, backend: Backend, result: AttemptResult, took_s: float) -> None:
+    def _record_cost(
+        self, backend: Backend, result: AttemptResult, took_s: float
+    ) -> None:
         cost = self.cost
         if result.reason is RetryReason.BACKEND_OVERLOADED:
             return
@@ -195,9 +197,9 @@
                 f"Stage {self._stage.name!r}: {reason.value}.",
                 self._queue.retry_after(),
             )
-        if self.cost.attempts >= MAX_ATTEMPTS and reason not in FREE_REASONS:
+        if self.cost.attempts >= MAX_ATTEMPTS and reason not in UNCOUNTED_REASONS:
             raise self._give_up(RefusalReason.ATTEMPTS_EXHAUSTED, reason)
-        if reason not in FREE_REASONS and not self._environment.budget.try_spend():
+        if reason not in UNCOUNTED_REASONS and not self._environment.budget.try_spend():
             raise self._give_up(RefusalReason.RETRY_BUDGET_SPENT, reason)
         self._environment.on_retry(reason)
 
@@ -213,8 +215,11 @@
     def _new_generation(self, emit: Emit | None) -> Generation | None:
         if self._stage.kind is not StageKind.GENERATE:
             return None
-        expected = self._queue.token_interval_s.upper(SILENCE_DEVIATIONS) * 4
-        between_s = max(self._environment.chunk_gap_floor_s, expected)
+        expected = self._queue.token_interval_s.upper(TIMEOUT_DEVIATIONS) * 4
+        chunk_gap_timeout_s = max(self._environment.chunk_gap_floor_s, expected)
         return Generation(
-            emit, between_s, self._queue.first_token_s, self._queue.token_interval_s
+            emit,
+            chunk_gap_timeout_s,
+            self._queue.first_token_s,
+            self._queue.token_interval_s,
         )
--- a/packages/node/tests/test_attempts.py
+++ b/packages/node/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""One attempt against servers that drop, redirect or repeat connections."""
+"""Attempts at a stage whose server drops connections, redirects or is silent."""
 
 import asyncio
 from http import HTTPStatus
@@ -31,7 +31,7 @@
 
 
 class RawServer:
-    """A TCP server that answers each call by a script, and counts the calls."""
+    """A TCP server that sends scripted responses and counts the calls."""
 
     def __init__(self, *script):
         self._script = list(script)
@@ -62,7 +62,7 @@
         writer.close()
 
 
-def new_attempt(address, idempotent, attempt_id="attempt-1", silence_s=0.3):
+def new_attempt(address, idempotent, attempt_id="attempt-1", idle_timeout_s=0.3):
     loop = asyncio.get_running_loop()
     stage = Stage("call", StageKind.CALL, "desk", idempotent, operation="lodge")
     pipeline = Pipeline("p", "account", "", (stage,), 1000, 0, False)
@@ -75,7 +75,7 @@
         request,
         stage,
         backend,
-        silence_s,
+        idle_timeout_s,
         on_leaving=lambda backend: None,
         on_discard=lambda reason: None,
         on_cost_unknown=lambda attempt: None,
@@ -106,7 +106,7 @@
 
 class TestClientLibrary:
     @pytest.mark.parametrize("idempotent", [True, False])
-    async def test_a_call_is_sent_once_on_a_dropped_kept_alive_connection(
+    async def test_a_call_is_sent_once_if_a_keep_alive_connection_drops(
         self, idempotent
     ):
         async with RawServer(answer("attempt-1"), b"") as server:
@@ -127,8 +127,8 @@
             assert result.outcome is AttemptOutcome.UNKNOWN
             assert server.calls == 1
 
-    async def test_a_get_is_sent_once_on_a_dropped_kept_alive_connection(self):
-        """The library would send it again; its switch for that is private."""
+    async def test_a_get_is_sent_once_if_a_keep_alive_connection_drops(self):
+        """aiohttp would send it again, and its option against that is private."""
         async with RawServer(answer("attempt-1"), b"") as server:
             connections = BackendConnections(server.address)
             first = await get(connections)
@@ -147,7 +147,7 @@
 
 
 class TestDeadline:
-    async def test_nothing_is_dispatched_once_it_passed(self):
+    async def test_nothing_is_dispatched_after_the_deadline(self):
         async with RawServer(answer("attempt-1")) as server:
             attempt = new_attempt(server.address, idempotent=False)
             request = msgspec.structs.replace(attempt.request, deadline=0.0)
@@ -165,7 +165,7 @@
 
 
 class TestOutcomes:
-    async def test_no_connection_is_not_run(self):
+    async def test_an_attempt_without_a_connection_is_not_run(self):
         async with RawServer() as server:
             address = server.address
         result = await run_call(new_attempt(address, idempotent=False), "in")
@@ -188,7 +188,7 @@
             assert result.outcome is AttemptOutcome.UNKNOWN
             assert result.output is None
 
-    async def test_a_silent_connection_is_left_and_a_fresh_one_works(self):
+    async def test_a_silent_connection_is_replaced_by_a_new_one(self):
         async with RawServer(answer("attempt-1"), b"silent", answer("attempt-1")) as s:
             attempt = new_attempt(s.address, idempotent=True)
             outcomes = [(await run_call(attempt, "in")).outcome for _ in range(3)]
