--- a/packages/node/src/eelgrass_node/request/__init__.py
+++ b/packages/node/src/eelgrass_node/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one request."""
+"""Execution of requests; the objects here live as long as one request."""
--- a/packages/node/src/eelgrass_node/request/caller_response.py
+++ b/packages/node/src/eelgrass_node/request/caller_response.py
@@ -1,4 +1,4 @@
-"""The answer to one caller: a whole reply, a stream, or a refusal of our own."""
+"""The response to one caller: a complete reply, a stream or a refusal by the node."""
 
 import asyncio
 import random
@@ -10,10 +10,10 @@
 from .engine_call import Reply
 from .incoming_request import ResponseHead
 
-__all__ = ["CallerAnswer", "refusal_response"]
+__all__ = ["CallerResponse", "refusal_response"]
 
-# Refused callers come back over a span this much longer than asked, so that
-# they do not all come at one moment.
+# Retry-After is lengthened at random by up to this fraction, so that refused callers do
+# not all come back at the same moment.
 SPREAD = 0.3
 HTTP_TOO_MANY = 429
 HTTP_UNAVAILABLE = 503
@@ -22,7 +22,7 @@
 def refusal_response(
     status: int, reason: str, retry_after_s: float | None = None
 ) -> web.Response:
-    """Return a refusal of our own; ``retry_after_s`` says when to come back."""
+    """Return a refusal by the node; ``retry_after_s`` sets the Retry-After header."""
     headers = {}
     if retry_after_s is not None:
         spread = retry_after_s * random.uniform(1.0, 1.0 + SPREAD)
@@ -30,8 +30,8 @@
     return web.Response(status=status, text=reason + "\n", headers=headers)
 
 
-class CallerAnswer:
-    """What one caller has been sent so far.
+class CallerResponse:
+    """Sends the response to one caller and tracks what has been sent.
 
     ``closing`` asks the caller to open a new connection for its next request.
     """
@@ -42,66 +42,66 @@
         self._stream: web.StreamResponse | None = None
 
     @property
-    def begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Whether the head of a stream has been sent."""
         return self._stream is not None
 
-    def whole(self, reply: Reply) -> web.StreamResponse:
-        """Return a backend server's whole reply, unchanged."""
+    def complete(self, reply: Reply) -> web.StreamResponse:
+        """Return a backend server's complete reply, unchanged."""
         headers = CIMultiDict(reply.head.headers)
         headers.pop("Content-Length", None)
         response = web.Response(
             status=reply.head.status, headers=headers, body=reply.body
         )
-        return self._finished(response)
+        return self._apply_closing(response)
 
     def refusal(
         self, status: int, reason: str, retry_after_s: float | None = None
     ) -> web.StreamResponse:
-        """Return a refusal; a stream that has begun is broken off instead."""
+        """Return a refusal; a stream that has begun is aborted instead."""
         if self._stream is not None:
-            return self.break_off()
-        return self._finished(refusal_response(status, reason, retry_after_s))
+            return self.abort()
+        return self._apply_closing(refusal_response(status, reason, retry_after_s))
 
     async def begin(self, head: ResponseHead) -> None:
-        """Send the head of a stream; the head of a later run is not sent."""
+        """Send the head of a stream, unless an earlier attempt has already sent one."""
         if self._stream is not None:
             return
         headers = CIMultiDict(head.headers)
         headers.pop("Content-Length", None)
         stream = web.StreamResponse(status=head.status, headers=headers)
-        self._finished(stream)
+        self._apply_closing(stream)
         self._stream = stream
-        await self._sent(stream.prepare(self._request))
+        await self._send(stream.prepare(self._request))
 
     async def write(self, data: bytes) -> None:
         """Send bytes of a stream; raises :class:`CallerGone`."""
         if data:
-            await self._sent(self._stream.write(data))
+            await self._send(self._stream.write(data))
 
     async def end(self) -> web.StreamResponse:
         """End a stream as complete."""
-        await self._sent(self._stream.write_eof())
+        await self._send(self._stream.write_eof())
         return self._stream
 
-    def break_off(self) -> web.StreamResponse:
-        """Close the connection, so that the stream does not look complete."""
+    def abort(self) -> web.StreamResponse:
+        """Close the connection, so that the caller sees an incomplete stream."""
         transport = self._request.transport
         if transport is not None:
             transport.close()
         raise CallerGone
 
-    def nothing(self) -> web.StreamResponse:
-        """Return what stands for the answer where nobody waits for it."""
+    def no_response(self) -> web.StreamResponse:
+        """Return a response object for a caller that has left."""
         return self._stream or web.Response()
 
-    async def _sent(self, sending) -> None:
+    async def _send(self, sending) -> None:
         try:
             await sending
         except (ConnectionError, asyncio.IncompleteReadError) as error:
             raise CallerGone from error
 
-    def _finished(self, response: web.StreamResponse) -> web.StreamResponse:
+    def _apply_closing(self, response: web.StreamResponse) -> web.StreamResponse:
         if self._closing:
             response.force_close()
         return response
--- a/packages/node/src/eelgrass_node/request/engine_call.py
+++ b/packages/node/src/eelgrass_node/request/engine_call.py
@@ -1,8 +1,8 @@
-"""One call of a routed request to one backend server, and what became of it.
+"""One call of a routed request to one backend server.
 
-A call that fails surely did not run only where no connection came about, or
-where the server promises so. Whatever else fails, once bytes may have left the
-node, may have run.
+A failed call counts as not run only if no connection was established or the server
+guarantees that it did not run the request. After any other failure the request may
+have run, because bytes may have left the node.
 """
 
 import asyncio
@@ -18,30 +18,30 @@
 from .incoming_request import ResponseHead, RoutedRequest, WireCodec
 from .reasons import RetryReason
 
-__all__ = ["EngineCall", "Reply", "failure_of"]
+__all__ = ["EngineCall", "Reply", "call_failure"]
 
-# A connection comes about in a few milliseconds, or its first packet was lost
-# and is sent again after a second.
+# A connection is established within a few milliseconds unless its first packet is
+# lost, which is sent again only after a second.
 CONNECT_S = 0.3
 HTTP_CONFLICT = 409
 HTTP_MISDIRECTED = 421
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A whole answer that the server gave and signed."""
+    """A complete response that the server signed."""
 
     head: ResponseHead
     body: bytes
 
 
 class EngineCall:
-    """A call under way; leave it with :meth:`close` whatever happened.
+    """A call in progress; :meth:`close` must be called whatever its outcome.
 
-    ``silence_s`` bounds the wait for the head of the answer, in seconds, once the
-    body has had time to go out. The deadline of the request is left to its caller:
-    that it passes says nothing about the server. ``on_sent`` is told when the
-    request goes out. ``copy_from`` is the address of an engine that holds shared
-    parts of the prompt.
+    ``head_timeout_s`` bounds the wait for the head of the response, in seconds, once
+    the body has had time to be sent. The user of this class enforces the request's
+    deadline, because its expiry says nothing about the server. ``on_sent`` is called
+    when the request is sent. ``copy_from`` is the address of an engine that has the
+    prompt prefix cached.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         routed: RoutedRequest,
         backend: Backend,
         inputs: tuple[str, ...],
-        silence_s: float,
+        head_timeout_s: float,
         on_sent: Callable[[], None],
         copy_from: str | None = None,
     ) -> None:
@@ -58,19 +58,19 @@
         self._routed = routed
         self._backend = backend
         self._inputs = inputs
-        self._silence_s = silence_s
+        self._head_timeout_s = head_timeout_s
         self._on_sent = on_sent
         self._copy_from = copy_from
         self._response: aiohttp.ClientResponse | None = None
-        # From here to close() its connections are not closed under the call,
-        # also where the server is taken off the list meanwhile.
+        # Keeps the server's connections open until close(), even if the server is
+        # removed from the list of servers meanwhile.
         backend.connections.enter()
         self._closed: asyncio.Future | None = None
 
     async def open(self, last_event_id: str | None = None) -> ResponseHead:
-        """Send the request and return the head of a signed answer to it.
+        """Send the request and return the head of the signed response to it.
 
-        Raises :class:`CallFailed` where there is none.
+        Raises :class:`CallFailed` if there is none.
         """
         response = await self._send(last_event_id)
         self._response = response
@@ -78,37 +78,38 @@
         if response.connection is not None and response.connection.protocol is not None:
             self._closed = response.connection.protocol.closed
         head = self._codec.decode_head(response.status, response.raw_headers)
-        self._check(head)
+        self._check_head(head)
         return head
 
     async def read(self) -> bytes:
-        """Read the whole body; raises :class:`CallFailed` where it breaks off."""
+        """Read the complete body; raises :class:`CallFailed` if it is cut off."""
         try:
             body = await self._response.read()
         except (aiohttp.ClientError, OSError) as error:
-            raise failure_of(error) from error
-        self.check_whole()
+            raise call_failure(error) from error
+        self.check_complete()
         return body
 
     async def read_some(self, within_s: float) -> bytes:
-        """Return the next bytes of the body, none at its end.
+        """Return the next bytes of the body; empty at its end.
 
-        Raises :class:`CallFailed` where it breaks off or falls silent.
+        Raises :class:`CallFailed` if it is cut off, or if no data arrives within
+        ``within_s`` seconds.
         """
         try:
             async with StallAwareTimeout(self._before_deadline(within_s)):
                 data = await self._response.content.readany()
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            raise failure_of(error) from error
+            raise call_failure(error) from error
         if not data:
-            self.check_whole()
+            self.check_complete()
         return data
 
-    def check_whole(self) -> None:
-        """Raise :class:`CallFailed` where the end of the body was a reset.
+    def check_complete(self) -> None:
+        """Raise :class:`CallFailed` if the body ended in a connection reset.
 
-        A body without a length ends with its connection. The client library
-        takes every end for a good one there.
+        A body without a length ends when its connection is closed. The client library
+        then treats a reset like a regular close.
         """
         if self._has_length():
             return
@@ -116,9 +117,10 @@
             raise CallFailed(RetryReason.CONNECTION_LOST, not_run=False)
 
     def close(self) -> None:
-        """Give the connection back, or close it where the answer is not read."""
+        """Return the connection to the pool; close it if unread data is left."""
         if self._closed is not None and self._closed.done():
-            # Its error was looked at where it matters.
+            # Retrieves the exception, so that asyncio does not report it as unhandled;
+            # check_complete() is what acts on it.
             self._closed.exception()
         if self._response is not None:
             self._response.close()
@@ -145,14 +147,14 @@
             reuse=routed.route.repeatable,
             on_sent=self._on_sent,
         )
-        bound_s = self._silence_s + send_allowance_s(len(incoming.body))
+        timeout_s = self._head_timeout_s + send_allowance_s(len(incoming.body))
         try:
-            async with StallAwareTimeout(self._before_deadline(bound_s)):
+            async with StallAwareTimeout(self._before_deadline(timeout_s)):
                 return await context
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-            raise failure_of(error) from error
+            raise call_failure(error) from error
 
-    def _check(self, head: ResponseHead) -> None:
+    def _check_head(self, head: ResponseHead) -> None:
         if head.request_id is None and head.not_run:
             raise CallFailed(_refusal_reason(head), not_run=True)
         if head.request_id != self._routed.incoming.request_id:
@@ -172,17 +174,17 @@
         headers = self._response.headers
         return "Content-Length" in headers or "Transfer-Encoding" in headers
 
-    def _before_deadline(self, bound_s: float) -> float | None:
-        """Return a bound, or None where the deadline comes first."""
-        return bound_s if bound_s < self._remaining() else None
+    def _before_deadline(self, timeout_s: float) -> float | None:
+        """Return ``timeout_s``, or None if the deadline comes first."""
+        return timeout_s if timeout_s < self._remaining() else None
 
     def _remaining(self) -> float:
         now = asyncio.get_running_loop().time()
         return max(0.001, self._routed.deadline - now)
 
 
-def failure_of(error: Exception) -> CallFailed:
-    """Return what a failure of the client library says about a call."""
+def call_failure(error: Exception) -> CallFailed:
+    """Convert an exception of the client library to a :class:`CallFailed`."""
     if isinstance(error, aiohttp.ConnectionTimeoutError):
         return CallFailed(RetryReason.CONNECT_SILENT, not_run=True)
     if isinstance(error, aiohttp.ClientConnectorError):
--- a/packages/node/src/eelgrass_node/request/events.py
+++ b/packages/node/src/eelgrass_node/request/events.py
@@ -1,4 +1,4 @@
-"""Splits a stream of events, so that only whole events are passed on, each once."""
+"""Splits a stream of server-sent events, to forward only complete ones, each once."""
 
 import re
 
@@ -9,10 +9,10 @@
 
 
 class EventSplitter:
-    """Takes bytes of one or more runs of a stream, joined at whole events.
+    """Joins the bytes of one or more attempts at a stream at event boundaries.
 
-    ``last_id`` is the id of the last whole event, from which a new run may go
-    on.
+    ``last_id`` is the id of the last complete event, from which a new attempt may
+    resume.
 
     Example::
 
@@ -24,29 +24,29 @@
     def __init__(self, last_id: str | None = None) -> None:
         self.last_id = last_id
         self.events = 0
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def partial(self) -> bool:
-        """Whether an event has begun that is not whole."""
-        return bool(self._rest.strip())
+        """Whether an incomplete event is buffered."""
+        return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that ``data`` completes, without repeats."""
-        self._rest += data
-        passed: list[bytes] = []
+        """Return the events that ``data`` completes, without duplicates."""
+        self._buffer += data
+        complete: list[bytes] = []
         begin = 0
-        for match in _EVENT_END.finditer(self._rest):
-            event = self._rest[begin : match.end()]
+        for match in _EVENT_END.finditer(self._buffer):
+            event = self._buffer[begin : match.end()]
             begin = match.end()
             if self._is_new(event):
-                passed.append(event)
-        self._rest = self._rest[begin:]
-        return b"".join(passed)
+                complete.append(event)
+        self._buffer = self._buffer[begin:]
+        return b"".join(complete)
 
     def restart(self) -> None:
-        """Begin with another run: drop the part of an event that the last left."""
-        self._rest = b""
+        """Start with another attempt: drop the incomplete event of the last one."""
+        self._buffer = b""
 
     def _is_new(self, event: bytes) -> bool:
         found = _ID_LINE.search(event)
@@ -62,7 +62,7 @@
 
 
 def _follows(event_id: str, last_id: str) -> bool:
-    """Return whether an id comes after another; ids that are no numbers do."""
+    """Return whether an id comes after another; non-numeric ids need only differ."""
     try:
         return int(event_id) > int(last_id)
     except ValueError:
--- a/packages/node/src/eelgrass_node/request/fingerprint.py
+++ b/packages/node/src/eelgrass_node/request/fingerprint.py
@@ -1,7 +1,7 @@
-"""What a request is recognised by when its caller sends it again.
+"""Identifies a request across the attempts of its caller.
 
-A repeat has an attempt id of its own and may reach any node. Its host, target, client
-account and body are those of the first attempt.
+A retry has its own attempt id and may reach any node, but it has the host, target,
+client account and body of the first attempt.
 """
 
 from hashlib import blake2b
@@ -12,12 +12,13 @@
 __all__ = ["fingerprint_of"]
 
 DIGEST_BYTES = 8
-# Before each part goes its length, so that no two requests join to the same bytes.
+# Each part is prefixed with its length, so that different requests cannot be joined to
+# the same bytes.
 LENGTH_BYTES = 8
 
 
 def fingerprint_of(routed: RoutedRequest) -> Fingerprint:
-    """Return the same text for all attempts at one request of an account."""
+    """Return a digest that is the same for all attempts at one request."""
     incoming = routed.incoming
     digest = blake2b(digest_size=DIGEST_BYTES)
     for part in (
--- a/packages/node/src/eelgrass_node/request/graph.py
+++ b/packages/node/src/eelgrass_node/request/graph.py
@@ -1,7 +1,7 @@
-"""Runs the stages that a request needs before it itself can run.
+"""Runs the stages of a request that precede its final call.
 
-Stages form a graph: each begins when the results of those before it are there,
-and gets the handles of all their pieces. A result that is gone is made again.
+Stages form a graph: each starts when the results of its predecessors are available,
+and receives the handles of all their batch items. Lost results are made again.
 """
 
 import asyncio
@@ -22,36 +22,36 @@
 __all__ = ["FreeResults", "RunItems", "StageGraph", "StagePlan"]
 
 RunItems = Callable[[ServiceName, list[BatchItem]], Awaitable[list[ItemOutcome]]]
-# Frees results; the node, if any, is the one whose queue counts their memory.
+# Frees results. The node, if any, is the one whose queue accounts for their memory.
 FreeResults = Callable[[ServiceName, list[str], NodeId | None], None]
 
-# How often lost results are made again before the request is given up.
-MAX_ROUNDS = 2
-# From this size on it matters where results are made and fetched, since their
-# way between data centres is priced. On the sheets the large ones are 3 MB, and
-# eight of 60 kB that each of sixteen pieces fetches.
+# How often the stages are run, in case results are lost, before the request is refused.
+MAX_RUNS = 2
+# From this size on, placement considers where results are made and fetched, because
+# traffic between data centres is charged for. Typical large results are single ones of
+# 3 MB, and eight of 60 kB that each of sixteen batch items fetches.
 LARGE_BYTES = 100_000
 
 
 class StagePlan(msgspec.Struct, frozen=True):
-    """When each stage of a request should be done, by its number.
+    """When each stage of a request should be complete, by stage number.
 
-    After ``due_by_stage`` the request will be late, and after
-    ``deadline_by_stage`` it is not worth going on with. A stage begins once
-    those of ``begin_after`` are done. ``near`` is the data centre where the
-    request itself will probably run.
+    If a stage ends after its time in ``target_by_stage``, the request will miss its
+    latency target; after ``deadline_by_stage`` it is not worth continuing. A stage
+    starts once its stages of ``begin_after`` are complete.
+    ``preferred_data_centre`` is where the final call will probably run.
     """
 
-    due_by_stage: tuple[float, ...]
+    target_by_stage: tuple[float, ...]
     deadline_by_stage: tuple[float, ...]
     begin_after: tuple[tuple[int, ...], ...]
-    near: str = ""
+    preferred_data_centre: str = ""
 
 
 class _Result(msgspec.Struct, frozen=True):
-    """A result that a life of a server holds under a handle.
+    """A result that a server incarnation holds under a handle.
 
-    ``owner`` is the other node whose queue counts the memory that it takes.
+    ``owner`` is the other node whose queue accounts for the memory it takes.
     """
 
     handle: str
@@ -60,10 +60,10 @@
 
 
 class StageGraph:
-    """The stages of one request; results are kept by stage and piece.
+    """The stages of one request; results are kept by stage and batch item.
 
-    ``is_over`` tells of a life of a server whether it has ended, and with it
-    the results that it held. ``fingerprint`` is that of the request.
+    ``has_ended`` returns whether a server incarnation has ended, and with it the
+    results that it held. ``fingerprint`` is that of the request.
     """
 
     def __init__(
@@ -84,46 +84,46 @@
         self._data_centre_of = data_centre_of
         self._done: set[int] = set()
         self.released = False
-        self._is_over = has_ended
+        self._has_ended = has_ended
         self._result_by_item: dict[tuple[int, int], _Result] = {}
 
     async def run(self) -> tuple[str, ...]:
-        """Make what is missing; return the handles for the request itself.
+        """Make the missing results; return the handles for the final call.
 
         Raises :class:`StagesFailed`.
         """
         self.released = False
-        for _ in range(MAX_ROUNDS):
+        for _ in range(MAX_RUNS):
             try:
                 await self._run_missing()
                 return self._handles(self._routed.route.final_stages())
-            except _ResultsGone:
+            except _ResultsLost:
                 self.release()
         raise StagesFailed(ItemFailure.INPUT_GONE, 0.0)
 
-    def inputs_at(self, stages: tuple[int, ...]) -> str:
-        """Return the data centre with most bytes of the results of ``stages``.
+    def inputs_data_centre(self, stages: tuple[int, ...]) -> str:
+        """Return the data centre that holds most bytes of the results of ``stages``.
 
-        Nothing is returned where they are too small to matter.
+        Empty if they are too small for their location to matter.
         """
-        bytes_by_place: Counter[str] = Counter()
+        bytes_by_data_centre: Counter[str] = Counter()
         for (stage, _), result in self._result_by_item.items():
             if stage in stages:
                 size = self._routed.route.stages[stage].result_bytes
-                bytes_by_place[self._data_centre_of(result.handle)] += size
-        if bytes_by_place.total() < LARGE_BYTES:
+                bytes_by_data_centre[self._data_centre_of(result.handle)] += size
+        if bytes_by_data_centre.total() < LARGE_BYTES:
             return ""
-        return bytes_by_place.most_common(1)[0][0]
+        return bytes_by_data_centre.most_common(1)[0][0]
 
     def has_lost_results(self) -> bool:
-        """Return whether a server that held a result has started again."""
+        """Return whether a server that held a result has restarted."""
         return any(
-            result.producer is not None and self._is_over(result.producer)
+            result.producer is not None and self._has_ended(result.producer)
             for result in self._result_by_item.values()
         )
 
     def release(self) -> None:
-        """Free all results, which nobody needs any more or one of which is gone."""
+        """Free all results, because none is needed any more or one of them is lost."""
         self._done.clear()
         self.released = True
         for number, stage in enumerate(self._routed.route.stages):
@@ -141,8 +141,8 @@
     async def _run_stage(
         self, number: int, stage: BatchStage, done: list[asyncio.Event]
     ) -> None:
-        for before in self._plan.begin_after[number]:
-            await done[before].wait()
+        for predecessor in self._plan.begin_after[number]:
+            await done[predecessor].wait()
         missing = [
             item
             for item in range(self._routed.incoming.item_count(number))
@@ -151,37 +151,37 @@
         if missing:
             items = self._items(number, stage, missing)
             outcomes = await self._run_items(stage.service, items)
-            self._take(number, missing, outcomes)
+            self._record_outcomes(number, missing, outcomes)
         self._done.add(number)
         done[number].set()
         self._release_used(stage.after)
 
     def _release_used(self, stages: tuple[int, ...]) -> None:
-        """Free results as soon as every stage that needs them has run.
+        """Free the results of ``stages`` as soon as all their successors have run.
 
-        Servers have memory for the results of a few calls only.
+        Servers have memory for the results of only a few calls.
         """
-        for before in stages:
-            followers = (
+        for predecessor in stages:
+            successors = (
                 number
                 for number, stage in enumerate(self._routed.route.stages)
-                if before in stage.after
+                if predecessor in stage.after
             )
-            if self._done.issuperset(followers):
-                self._release_stage(before, self._routed.route.stages[before])
+            if self._done.issuperset(successors):
+                self._release_stage(predecessor, self._routed.route.stages[predecessor])
 
     def _release_stage(self, number: int, stage: BatchStage) -> None:
         keys = [key for key in self._result_by_item if key[0] == number]
         results = [self._result_by_item.pop(key) for key in keys]
-        # Under its handle a server that has started again may hold another result.
+        # A restarted server may hold another result under the same handle.
         held = [
-            r for r in results if r.producer is None or not self._is_over(r.producer)
+            r for r in results if r.producer is None or not self._has_ended(r.producer)
         ]
         for owner in {result.owner for result in held}:
             handles = [result.handle for result in held if result.owner == owner]
             self._free(stage.service, handles, owner)
 
-    def _take(
+    def _record_outcomes(
         self, number: int, missing: list[int], outcomes: list[ItemOutcome]
     ) -> None:
         for item, outcome in zip(missing, outcomes, strict=True):
@@ -192,7 +192,7 @@
         if not failures:
             return
         if any(o.failure is ItemFailure.INPUT_GONE for o in failures):
-            raise _ResultsGone
+            raise _ResultsLost
         first = failures[0]
         raise StagesFailed(first.failure, first.retry_after_s)
 
@@ -203,7 +203,7 @@
         inputs = self._handles(stage.after)
         producers = {result.producer for result in self._results(stage.after)}
         known_producers = tuple(producers - {None})
-        near = self._near(stage)
+        preferred_data_centre = self._preferred_data_centre(stage)
         return [
             BatchItem(
                 request_id=routed.incoming.request_id,
@@ -212,10 +212,10 @@
                 key=None if stage.after else routed.incoming.item_key,
                 inputs=inputs,
                 deadline=self._plan.deadline_by_stage[number],
-                due=self._plan.due_by_stage[number],
+                due=self._plan.target_by_stage[number],
                 priority=routed.priority,
                 result_bytes=stage.result_bytes,
-                preferred_data_centre=near,
+                preferred_data_centre=preferred_data_centre,
                 producers=known_producers,
                 account=routed.account_name,
                 fingerprint=self._fingerprint,
@@ -224,24 +224,28 @@
             for item in numbers
         ]
 
-    def _near(self, stage: BatchStage) -> str:
-        """Return where a piece is best run, if that matters.
+    def _preferred_data_centre(self, stage: BatchStage) -> str:
+        """Return the data centre where a batch item should run; empty if any will do.
 
-        Each piece fetches all results of the stages before it, so these weigh
-        more than its own result.
+        Each item fetches all results of the preceding stages, so their location
+        matters more than that of its own result.
         """
-        at = self.inputs_at(stage.after)
+        at = self.inputs_data_centre(stage.after)
         if at:
             return at
-        return self._plan.near if stage.result_bytes >= LARGE_BYTES else ""
+        return (
+            self._plan.preferred_data_centre
+            if stage.result_bytes >= LARGE_BYTES
+            else ""
+        )
 
     def _handles(self, stages: tuple[int, ...]) -> tuple[str, ...]:
-        """Return the handles of all results of some stages, in order.
+        """Return the handles of all results of ``stages``, in order.
 
-        Raises :class:`_ResultsGone` where a server that held one started again.
+        Raises :class:`_ResultsLost` if a server that held a result has restarted.
         """
         if self.has_lost_results():
-            raise _ResultsGone
+            raise _ResultsLost
         return tuple(result.handle for result in self._results(stages))
 
     def _results(self, stages: tuple[int, ...]) -> list[_Result]:
@@ -252,5 +256,5 @@
         ]
 
 
-class _ResultsGone(Exception):
-    """A result that a stage needs is no longer there."""
+class _ResultsLost(Exception):
+    """A result that a stage needs has been lost."""
--- a/packages/node/src/eelgrass_node/request/incoming_request.py
+++ b/packages/node/src/eelgrass_node/request/incoming_request.py
@@ -1,7 +1,8 @@
-"""A caller's request for a route, and the codec that the adapter supplies.
+"""A caller's request, the head of a server's response, and the codec for both.
 
-Bodies, targets and foreign headers are kept byte for byte. All times are on
-the clock of the event loop, in seconds.
+The platform adapter implements the codec. Bodies, request targets and unrecognised
+headers are passed through byte for byte. All times are in seconds on the event
+loop's clock.
 """
 
 from typing import Protocol
@@ -13,44 +14,48 @@
 
 __all__ = [
     "IncomingRequest",
-    "ResponseHead",
     "PromptPart",
     "PromptShape",
+    "ResponseHead",
     "RoutedRequest",
     "WireCodec",
 ]
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """A part of a prompt that other requests may share, with its tokens."""
+    """A part of a prompt that other requests may share, with its token count."""
 
     id: str
     tokens: int
 
 
 class PromptShape(msgspec.Struct, frozen=True):
-    """The parts of a prompt in order, and the tokens in and out at most."""
+    """The parts of a prompt in order, and the limits on input and output tokens."""
 
     parts: tuple[PromptPart, ...] = ()
     tokens_in: int = 0
     tokens_out: int = 0
 
     def prefix_key(self) -> str | None:
-        """Return the id of the last part that other requests may share."""
+        """Return the id of the last shareable part, which identifies the prefix.
+
+        The very last part belongs to this request alone.
+        """
         if len(self.parts) < 2:
             return None
         return self.parts[-2].id
 
     def shared_tokens(self) -> int:
-        """Return the tokens of all parts but the request's own."""
+        """Return the token count of the prefix: all parts but the last."""
         return sum(part.tokens for part in self.parts[:-1])
 
 
 class IncomingRequest(msgspec.Struct, frozen=True):
-    """What a caller sent, decoded once.
+    """A caller's request, decoded.
 
-    ``caller_deadline_s`` is how long the caller waits from ``arrived_at``, None
-    where it does not say. ``piece_counts`` holds the pieces of each stage.
+    ``caller_deadline_s`` is how long the caller waits, counted from ``arrived_at``;
+    None if the caller does not state it. ``item_counts`` holds the number of batch
+    items of each stage.
     """
 
     request_id: str
@@ -68,16 +73,16 @@
     prompt: PromptShape
 
     def item_count(self, stage: int) -> int:
-        """Return the number of pieces of a stage; none where it is left out."""
+        """Return the number of batch items of a stage; 0 if the stage is left out."""
         counts = self.item_counts
         return counts[stage] if stage < len(counts) else 0
 
 
 class RoutedRequest(msgspec.Struct, frozen=True):
-    """An arrival with the route, service and account that it was given.
+    """An incoming request with the route, service and account assigned to it.
 
-    ``deadline`` is when the caller must have its answer, ``due`` when the
-    answer earns its full credit; both on the clock of the event loop.
+    ``deadline`` is when the caller must have its response, and ``target_at`` until
+    when a response meets the latency target and earns full credit.
     """
 
     incoming: IncomingRequest
@@ -85,15 +90,15 @@
     service: ServiceName
     account: AccountGrant | None
     deadline: float
-    due: float
+    target_at: float
 
     @property
     def caller_leaves_at(self) -> float:
-        """When the caller gives up: at its deadline, or before the first event.
+        """When the caller gives up: at its deadline, or earlier on a silent stream.
 
-        Callers of a stream wait for an event no longer than the longest of 2 s,
-        four times the target and eight times the longest pause (the users'
-        protocol).
+        By the callers' protocol, a caller of a stream waits for an event for at most
+        the longest of 2 s, four times the latency target and eight times the target
+        for the gap between events.
         """
         if self.route.kind is not RouteKind.STREAM:
             return self.deadline
@@ -103,14 +108,14 @@
 
     @property
     def account_name(self) -> str | None:
-        """The name of the client account, where the request belongs to one."""
+        """The name of the client account, if the request belongs to one."""
         return None if self.account is None else self.account.name
 
     @property
     def regions(self) -> frozenset[str] | None:
-        """The regions to which both route and account bind the request.
+        """The regions to which the route and the account restrict the request.
 
-        None where neither binds it; none are left where they contradict each other.
+        None if neither restricts it; empty if they have no region in common.
         """
         account_regions = self.account.regions if self.account else frozenset()
         bounds = [bound for bound in (self.route.regions, account_regions) if bound]
@@ -118,7 +123,7 @@
 
     @property
     def priority(self) -> int:
-        """The rank of the request; 0 is the most urgent."""
+        """The priority of the request; 0 is the most urgent."""
         account = self.account
         if account is not None and account.priority is not None:
             return account.priority
@@ -126,11 +131,11 @@
 
 
 class ResponseHead(msgspec.Struct, frozen=True):
-    """The head of a backend server's answer, decoded once.
+    """The head of a backend server's response, decoded.
 
-    ``not_run`` says that the server promises not to have run the request and
-    ``closes`` that it will close the connection. ``load`` is running, waiting
-    and slots, where the server tells.
+    ``not_run`` is the server's guarantee that it did not run the request; ``closes``
+    means that it will close the connection. ``load`` is the numbers of running
+    requests, waiting requests and slots, if the server reports them.
     """
 
     status: int
@@ -144,7 +149,7 @@
 
 
 class WireCodec(Protocol):
-    """What the adapter does for a request."""
+    """Encodes and decodes requests; the platform adapter implements it."""
 
     def decode_request(
         self,
@@ -165,13 +170,12 @@
         last_event_id: str | None,
         copy_from: str | None = None,
     ) -> CIMultiDict[str]:
-        """Return the headers towards a backend server.
+        """Return the headers of the request to a backend server.
 
-        ``copy_from`` is the address of an engine that holds shared parts of the
-        prompt.
+        ``copy_from`` is the address of an engine that has the prompt prefix cached.
         """
 
     def decode_head(
         self, status: int, raw_headers: tuple[tuple[bytes, bytes], ...]
     ) -> ResponseHead:
-        """Decode the head of a backend server's answer."""
+        """Decode the head of a backend server's response."""
--- a/packages/node/src/eelgrass_node/request/reasons.py
+++ b/packages/node/src/eelgrass_node/request/reasons.py
@@ -1,15 +1,15 @@
-"""Reasons of refusals, retries and discards; each has a counter of its own."""
+"""Reasons for refusals, retries and discards; each has its own counter."""
 
 from enum import Enum
 
 import msgspec
 
 __all__ = [
-    "FAILING",
-    "LOST",
-    "SILENCES",
-    "SUSPICIOUS",
-    "UNCONNECTED",
+    "NOT_CONNECTED_REASONS",
+    "POSSIBLE_CRASH_REASONS",
+    "SERVER_FAILING_REASONS",
+    "SUSPECT_SERVER_REASONS",
+    "TIMEOUT_REASONS",
     "DiscardReason",
     "Outcome",
     "RefusalKind",
@@ -20,7 +20,7 @@
 
 
 class Outcome(Enum):
-    """What a refused request may have done."""
+    """The effect that a refused request may have had."""
 
     NOT_RUN = "not_run"
     NO_EFFECT = "no_effect"
@@ -60,7 +60,7 @@
 
 
 class RetryReason(Enum):
-    """Why an attempt at a stage is repeated."""
+    """Why an attempt is retried."""
 
     CONNECT_FAILED = "connect_failed"
     CONNECT_SILENT = "connect_silent"
@@ -79,8 +79,8 @@
     BACKEND_ERROR = "backend_error"
 
 
-# After these a server is left alone for a while; one that is only full is not.
-SUSPICIOUS = frozenset(
+# After these failures a server is avoided for a while; one that is only full is not.
+SUSPECT_SERVER_REASONS = frozenset(
     (
         RetryReason.CONNECT_FAILED,
         RetryReason.CONNECT_SILENT,
@@ -89,22 +89,27 @@
         RetryReason.BAD_ANSWER,
     )
 )
-# These say that the server fails, and not the way to it: other nodes are told.
-FAILING = frozenset((RetryReason.CONNECTION_LOST, RetryReason.BAD_ANSWER))
-# After these the server may have ended.
-LOST = frozenset(
+# These failures show that the server itself is failing, not the network path to it, so
+# other nodes are notified.
+SERVER_FAILING_REASONS = frozenset(
+    (RetryReason.CONNECTION_LOST, RetryReason.BAD_ANSWER)
+)
+# After these failures the server may have terminated.
+POSSIBLE_CRASH_REASONS = frozenset(
     (
         RetryReason.CONNECTION_LOST,
         RetryReason.CONNECTION_SILENT,
         RetryReason.STREAM_CUT,
     )
 )
-UNCONNECTED = frozenset((RetryReason.CONNECT_FAILED, RetryReason.CONNECT_SILENT))
-SILENCES = frozenset((RetryReason.CONNECT_SILENT, RetryReason.CONNECTION_SILENT))
+NOT_CONNECTED_REASONS = frozenset(
+    (RetryReason.CONNECT_FAILED, RetryReason.CONNECT_SILENT)
+)
+TIMEOUT_REASONS = frozenset((RetryReason.CONNECT_SILENT, RetryReason.CONNECTION_SILENT))
 
 
 class DiscardReason(Enum):
-    """Why something that a back end sent is not taken."""
+    """Why data that a backend server sent is discarded."""
 
     WRONG_ATTEMPT = "wrong_attempt"
     REPEATED_PIECE = "repeated_piece"
@@ -120,7 +125,7 @@
 
 
 _R = RefusalReason
-_LATER = "Repeat the request after the time in Retry-After."
+_RETRY_LATER = "Repeat the request after the time in Retry-After."
 _KINDS = {
     _R.MALFORMED_BODY: (400, "The body is not valid JSON", "Send one JSON object."),
     _R.BAD_FIELD: (400, "A field is wrong", "Correct the field that is named."),
@@ -157,20 +162,24 @@
         "The idempotency key belongs to another request",
         "Use a new key for a new request.",
     ),
-    _R.NOT_CONFIGURED: (503, "The node has no configuration yet", _LATER),
+    _R.NOT_CONFIGURED: (503, "The node has no configuration yet", _RETRY_LATER),
     _R.NODE_STOPPING: (503, "The node is stopping", "Repeat it at once elsewhere."),
-    _R.NODE_FULL: (503, "The node has too many requests in flight", _LATER),
-    _R.DEADLINE_INFEASIBLE: (503, "The deadline cannot be met now", _LATER),
-    _R.QUEUE_FULL: (503, "The queue of a stage is full", _LATER),
+    _R.NODE_FULL: (503, "The node has too many requests in flight", _RETRY_LATER),
+    _R.DEADLINE_INFEASIBLE: (503, "The deadline cannot be met now", _RETRY_LATER),
+    _R.QUEUE_FULL: (503, "The queue of a stage is full", _RETRY_LATER),
     _R.DEADLINE_PASSED: (
         504,
         "The deadline passed",
         "Repeat it with a longer deadline, if the outcome allows it.",
     ),
-    _R.NO_BACKEND: (503, "No backend server can take the stage", _LATER),
-    _R.RETRY_BUDGET_SPENT: (503, "A stage failed and may not be retried now", _LATER),
-    _R.ATTEMPTS_EXHAUSTED: (503, "A stage failed at every attempt", _LATER),
-    _R.PLATFORM_DOWN: (503, "The request could not be registered", _LATER),
+    _R.NO_BACKEND: (503, "No backend server can take the stage", _RETRY_LATER),
+    _R.RETRY_BUDGET_SPENT: (
+        503,
+        "A stage failed and may not be retried now",
+        _RETRY_LATER,
+    ),
+    _R.ATTEMPTS_EXHAUSTED: (503, "A stage failed at every attempt", _RETRY_LATER),
+    _R.PLATFORM_DOWN: (503, "The request could not be registered", _RETRY_LATER),
     _R.STAGE_OUTCOME_UNKNOWN: (
         502,
         "A stage that may not be repeated has an unknown outcome",
--- a/packages/node/src/eelgrass_node/request/request_handler.py
+++ b/packages/node/src/eelgrass_node/request/request_handler.py
@@ -1,4 +1,4 @@
-"""Accepts callers' requests: reads them whole, and finds route and account."""
+"""Reads callers' requests, finds their route and client account, and serves them."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from ..process.deployments import DeploymentInForce
 from ..process.stopping import Stopping
 from ..version.deployment import AccountGrant, Route
-from .caller_response import CallerAnswer
+from .caller_response import CallerResponse
 from .incoming_request import IncomingRequest, RoutedRequest, WireCodec
 from .request_execution import ANSWER_MARGIN_S, RequestExecution
 from .serving_context import ServingContext
@@ -19,14 +19,14 @@
 
 __all__ = ["RequestHandler"]
 
-# When to come back, in seconds: a node has its configuration within half a
-# second of its start, and another node can take a request at once.
+# Values of Retry-After, in seconds. A node receives its configuration within 0.5 s of
+# its start; when a node is stopping, another node can serve the request at once.
 START_RETRY_S = 0.5
 STOPPING_RETRY_S = 0.1
-# A node that is behind asks others for the newer configuration after half a second;
-# another node, to which the caller comes then, most likely has it.
-NEWER_RETRY_S = 0.5
-# The deadline of a caller that names none; its route's timeout is shorter.
+# A node with an outdated configuration asks other nodes for the newer one after 0.5 s;
+# the node that the caller reaches after this time most likely has it.
+OUTDATED_RETRY_S = 0.5
+# Used if the caller states no deadline; the route's timeout is shorter.
 DEFAULT_DEADLINE_S = 30.0
 HTTP_BAD_REQUEST = 400
 HTTP_UNAUTHORIZED = 401
@@ -39,61 +39,72 @@
 
 
 class RequestHandler:
-    """Handles callers' requests for one process."""
+    """Handles the requests that callers send to this process."""
 
     def __init__(
         self,
         codec: WireCodec,
         deployments: DeploymentInForce,
-        parts: ServingContext,
+        context: ServingContext,
         stopping: Stopping,
         count: Callable[[str], None],
     ) -> None:
         self._codec = codec
         self._deployments = deployments
-        self._parts = parts
+        self._context = context
         self._stopping = stopping
         self._count = count
         self._random = random.Random()
-        self._usual_deadlines = TypicalDeadlines()
+        self._typical_deadlines = TypicalDeadlines()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Serve one request and return its response."""
         arrived_at = _now()
-        answer = CallerAnswer(request, self._stopping.stopping)
+        answer = CallerResponse(request, self._stopping.stopping)
         with self._stopping.in_flight():
             try:
                 return await self._handle(request, answer, arrived_at)
             except CallerGone:
                 self._count("caller.gone")
-                return answer.nothing()
+                return answer.no_response()
             except asyncio.CancelledError:
                 self._count("caller.gone")
                 raise
             except Exception as error:  # noqa: BLE001
-                log(Part.CALLERS, "A request failed.", error=repr(error))
+                log(
+                    Part.CALLERS,
+                    "A request failed with an unhandled error; it is answered with "
+                    "500, or its stream is closed.",
+                    error=repr(error),
+                )
                 self._count("refusal.internal-error")
-                return answer.refusal(HTTP_INTERNAL_ERROR, "an error of the node")
+                return answer.refusal(HTTP_INTERNAL_ERROR, "internal error of the node")
 
     async def _handle(
-        self, request: web.BaseRequest, answer: CallerAnswer, arrived_at: float
+        self, request: web.BaseRequest, answer: CallerResponse, arrived_at: float
     ) -> web.StreamResponse:
         deployment = self._deployments.current
         if deployment is None:
             self._count("refusal.not-configured")
-            return answer.refusal(HTTP_UNAVAILABLE, "not configured yet", START_RETRY_S)
+            return answer.refusal(
+                HTTP_UNAVAILABLE, "the node has no configuration yet", START_RETRY_S
+            )
         if self._stopping.refusing:
             self._count("refusal.node-stopping")
             return answer.refusal(HTTP_UNAVAILABLE, "stopping", STOPPING_RETRY_S)
         if _header_bytes(request) > deployment.limits.max_header_bytes:
             self._count("refusal.header-too-large")
-            return answer.refusal(HTTP_HEADER_TOO_LARGE, "the header is too large")
+            return answer.refusal(
+                HTTP_HEADER_TOO_LARGE, "the request header is too large"
+            )
         try:
             async with asyncio.timeout(DEFAULT_DEADLINE_S):
                 body = await request.read()
         except TimeoutError:
             self._count("refusal.body-too-slow")
-            return answer.refusal(HTTP_TIMEOUT, "the body did not come in time")
+            return answer.refusal(
+                HTTP_TIMEOUT, "the request body was not received in time"
+            )
         except web.HTTPRequestEntityTooLarge:
             self._count("refusal.body-too-large")
             return answer.refusal(HTTP_TOO_LARGE, "the body is too large")
@@ -110,9 +121,9 @@
         return await self._route(incoming, answer)
 
     async def _route(
-        self, incoming: IncomingRequest, answer: CallerAnswer
+        self, incoming: IncomingRequest, answer: CallerResponse
     ) -> web.StreamResponse:
-        # Read again: a newer version may have come while the body was read.
+        # A newer version may have come into force while the body was being read.
         deployment = self._deployments.current
         route = deployment.match(incoming.host, incoming.target.partition("?")[0])
         if route is None:
@@ -124,16 +135,16 @@
                 return self._refuse_unknown(
                     incoming, answer, "unknown key", HTTP_UNAUTHORIZED
                 )
-        routed = self._routed(incoming, route, account)
-        return await RequestExecution(self._parts, routed, answer).serve()
+        routed = self._new_routed_request(incoming, route, account)
+        return await RequestExecution(self._context, routed, answer).serve()
 
-    def _routed(
+    def _new_routed_request(
         self, incoming: IncomingRequest, route: Route, account: AccountGrant | None
     ) -> RoutedRequest:
         wait_s = incoming.caller_deadline_s
         if wait_s is None:
             wait_s = DEFAULT_DEADLINE_S
-        waited_s = self._usual_deadlines.note(route.name, wait_s)
+        waited_s = self._typical_deadlines.record(route.name, wait_s)
         limit_s = min(wait_s - ANSWER_MARGIN_S, route.timeout_s)
         return RoutedRequest(
             incoming=incoming,
@@ -141,16 +152,21 @@
             service=route.pick_service(self._random),
             account=account,
             deadline=incoming.arrived_at + max(0.0, limit_s),
-            due=incoming.arrived_at + route.target_s - waited_s,
+            target_at=incoming.arrived_at + route.target_s - waited_s,
         )
 
     def _refuse_unknown(
-        self, incoming: IncomingRequest, answer: CallerAnswer, reason: str, status: int
+        self,
+        incoming: IncomingRequest,
+        answer: CallerResponse,
+        reason: str,
+        status: int,
     ) -> web.StreamResponse:
-        """Refuse what the configuration does not know.
+        """Refuse a request whose route or key is not in the configuration.
 
-        Callers take ``status`` as final. A node that knows of a newer configuration
-        and does not have it yet must not say so: the route or key may be there.
+        Callers treat ``status`` as final. A node that knows of a newer configuration
+        but does not have it yet answers 503 instead, because the newer one may have
+        the route or key.
         """
         superseded = self._deployments.superseded
         kind = f"{reason} yet" if superseded else reason
@@ -163,7 +179,7 @@
             version=self._deployments.number,
         )
         if superseded:
-            return answer.refusal(HTTP_UNAVAILABLE, kind, NEWER_RETRY_S)
+            return answer.refusal(HTTP_UNAVAILABLE, kind, OUTDATED_RETRY_S)
         return answer.refusal(status, reason)
 
 
--- a/packages/node/src/eelgrass_node/request/server_selection.py
+++ b/packages/node/src/eelgrass_node/request/server_selection.py
@@ -1,4 +1,4 @@
-"""Picks a server that may get a request now, though some are cold."""
+"""Selects a server for a request, within the warm-up limits of cold servers."""
 
 import msgspec
 
@@ -7,36 +7,36 @@
 from ..process.server_choice import ServerCriteria
 from .serving_context import ServingContext
 
-__all__ = ["admitted_server"]
+__all__ = ["select_server"]
 
-# Cold servers that are asked for in vain, before a request is refused: each may cost a
-# call to another node.
+# Cold servers that may deny a permit before the request is refused; asking for a permit
+# may take a call to another node.
 MAX_DENIED = 4
-# When to come back, in seconds: a server that is started anew is listed after about its
-# heartbeat of 1.2 s, and cold ones take a few requests a second each.
+# Values of Retry-After, in seconds: a restarted server is listed after about its
+# heartbeat of 1.2 s, and a cold server takes a few requests a second.
 NO_SERVER_RETRY_S = 0.5
-COLD_RETRY_S = 0.4
+WARM_UP_RETRY_S = 0.4
 MIN_RETRY_S = 0.1
 
 
-async def admitted_server(parts: ServingContext, criteria: ServerCriteria) -> Backend:
-    """Return a server that may get the request now.
+async def select_server(context: ServingContext, criteria: ServerCriteria) -> Backend:
+    """Return a server that may receive the request now.
 
-    Raises :class:`RequestRefused` where there is none, or where those that are left are
-    cold and get as much as they bear.
+    Raises :class:`RequestRefused` if the service has no server, or if the servers that
+    are left are cold and already receive as many requests as they can take.
     """
     denied: frozenset[ServerIncarnation] = frozenset()
-    again_s = COLD_RETRY_S
+    retry_after_s = WARM_UP_RETRY_S
     while len(denied) < MAX_DENIED:
         tried = criteria.tried | denied
-        server = parts.choose(msgspec.structs.replace(criteria, tried=tried))
+        server = context.choose(msgspec.structs.replace(criteria, tried=tried))
         if server is None:
-            raise RequestRefused("no server of the service", NO_SERVER_RETRY_S)
+            raise RequestRefused("the service has no usable server", NO_SERVER_RETRY_S)
         if server.entry.incarnation in denied:
             break
-        permit = await parts.admit(server)
+        permit = await context.admit(server)
         if permit.granted:
             return server
         denied |= {server.entry.incarnation}
-        again_s = max(MIN_RETRY_S, min(again_s, permit.after_s))
-    raise RequestRefused("the servers are warming up", again_s)
+        retry_after_s = max(MIN_RETRY_S, min(retry_after_s, permit.after_s))
+    raise RequestRefused("the servers are warming up", retry_after_s)
--- a/packages/node/src/eelgrass_node/request/serving_context.py
+++ b/packages/node/src/eelgrass_node/request/serving_context.py
@@ -1,4 +1,4 @@
-"""What the process lends to each request that it serves."""
+"""The parts of the process that the execution of a request uses."""
 
 from collections.abc import Awaitable, Callable
 
@@ -19,15 +19,14 @@
 
 
 class ServingContext(msgspec.Struct, frozen=True):
-    """What the process lends to a request.
-
-    ``choose`` picks a server, ``admit`` gives or denies a permit for one request to it,
-    and ``warm_engine`` names another that holds a shared part of a prompt with so many
-    tokens already. ``data_centre_of`` tells
-    where the result of a handle lies, and ``is_over`` whether a life of a server
-    has ended. ``plan`` says when the stages of a request should be done;
-    ``refuse_hopeless`` returns when to come back where they cannot be done in
-    time.
+    """The parts of the process that a request uses.
+
+    ``choose`` selects a server, ``admit`` grants or denies a permit to send it one
+    request, and ``copy_source`` returns another engine that already has a prompt prefix
+    of so many tokens cached. ``data_centre_of`` returns the data centre of the result
+    with a handle, and ``has_ended`` whether a server incarnation has ended. ``plan``
+    returns when the stages of a request should be complete, and
+    ``infeasible_retry_after_s`` a Retry-After in seconds if they cannot be in time.
     """
 
     codec: WireCodec
--- a/packages/node/src/eelgrass_node/request/stage_planner.py
+++ b/packages/node/src/eelgrass_node/request/stage_planner.py
@@ -1,4 +1,4 @@
-"""Plans the stages of a request from what this node knows of servers and queues."""
+"""Plans the stages of a request by what this node knows of servers and queues."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 class StagePlanner:
-    """Plans for one node; ``choose`` picks the server that a request would get now."""
+    """The planner of a node; ``choose`` selects the server a request would get now."""
 
     def __init__(
         self,
@@ -30,7 +30,10 @@
         self._final_call_latency = final_call_latency
 
     def plan(self, routed: RoutedRequest) -> StagePlan:
-        """Return when the stages should be done, near the server to be expected."""
+        """Return when the stages should be complete.
+
+        The preferred data centre is that of the server that the request would get now.
+        """
         prompt = routed.incoming.prompt
         criteria = ServerCriteria(
             routed.service,
@@ -39,15 +42,20 @@
             regions=routed.regions,
         )
         expected = self._choose(criteria)
-        near = "" if expected is None else expected.entry.data_centre
-        return plan_stages(routed, self._deployment(), near, self._final_s(routed))
+        preferred_data_centre = "" if expected is None else expected.entry.data_centre
+        return plan_stages(
+            routed,
+            self._deployment(),
+            preferred_data_centre,
+            self._final_call_s(routed),
+        )
 
     def infeasible_retry_after_s(self, routed: RoutedRequest) -> float | None:
-        """Return when to come back, in seconds, where the stages have no chance."""
+        """Return a Retry-After in seconds if the stages cannot be completed in time."""
         return infeasible_retry_after_s(
-            routed, self._deployment(), self._queue_loads, self._final_s(routed)
+            routed, self._deployment(), self._queue_loads, self._final_call_s(routed)
         )
 
-    def _final_s(self, routed: RoutedRequest) -> float:
-        """Return how long a request takes once its stages are done."""
+    def _final_call_s(self, routed: RoutedRequest) -> float:
+        """Return the expected time from the end of the stages to the response."""
         return self._final_call_latency.expected_s(routed.route.name)
--- a/packages/node/tests/test_fingerprint.py
+++ b/packages/node/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What a request is recognised by when it comes again."""
+"""Fingerprints, which identify a request across the attempts of its caller."""
 
 import msgspec
 import pytest
@@ -13,19 +13,19 @@
 
 
 class TestFingerprint:
-    def test_another_attempt_is_the_same_request(self):
+    def test_a_retry_has_the_same_fingerprint(self):
         first = routed()
-        again = changed(first, request_id="another", arrived_at=9.0, headers=())
-        assert fingerprint_of(again) == fingerprint_of(first)
+        retry = changed(first, request_id="another", arrived_at=9.0, headers=())
+        assert fingerprint_of(retry) == fingerprint_of(first)
 
     @pytest.mark.parametrize(
         "fields", [{"host": "other.example"}, {"target": "/other"}, {"body": b"other"}]
     )
-    def test_another_target_or_body_is_another_request(self, fields):
+    def test_another_host_target_or_body_changes_it(self, fields):
         first = routed()
         assert fingerprint_of(changed(first, **fields)) != fingerprint_of(first)
 
-    def test_parts_do_not_run_into_each_other(self):
+    def test_adjacent_parts_are_kept_apart(self):
         first = changed(routed(), target="/a", body=b"b")
         second = changed(routed(), target="/ab", body=b"")
         assert fingerprint_of(first) != fingerprint_of(second)
--- a/packages/node/tests/test_large_bodies.py
+++ b/packages/node/tests/test_large_bodies.py
@@ -1,8 +1,8 @@
-"""A body that takes long to go out because it is large is not taken for silence.
+"""A large body on a slow link is not mistaken for a silent connection.
 
-What a node stores, and what it sends to backend servers, grows with the deployment and
-with callers' requests, and links of 5 Mbit/s carry 0.6 MB in a second. A call whose
-wait ended while its body was still going out was made again, with the same end.
+What a node stores and sends to backend servers grows with the deployment and with
+callers' requests, and a link of 5 Mbit/s carries 0.6 MB in a second. A call that timed
+out while its body was still being sent was retried and timed out again.
 """
 
 import asyncio
@@ -23,22 +23,22 @@
 from eelgrass_node.request.attempt import Attempt, AttemptOutcome, run_call
 from eelgrass_node.request.engine_call import EngineCall
 from eelgrass_node.request.model import CallerRequest
-from eelgrass_node.request.request_execution import PLAIN_SILENCE_S
+from eelgrass_node.request.request_execution import PLAIN_HEAD_TIMEOUT_S
 from eelgrass_node.version import Pipeline, Stage, StageKind
 from eelgrass_standins.ports import free_addresses
 from support.batching import routed
 from support.fault_proxy import Direction, FaultProxy, Link
 
 # A link of 5 Mbit/s.
-BYTES_PER_S = 0.6e6
-MAX_BODY = 1 << 26
+LINK_BYTES_PER_S = 0.6e6
+MAX_BODY_BYTES = 1 << 26
 SILENCE_S = 0.3
 
 
 class Server:
-    """Answers each call once its whole body is there; use it as a context.
+    """Answers each call once its complete body has arrived; a context manager.
 
-    ``output`` is the answer to a stage. ``bodies`` holds what came whole.
+    ``output`` is the answer to a stage. ``bodies`` holds the bodies received.
     """
 
     def __init__(self, output="done"):
@@ -47,15 +47,15 @@
 
     async def __aenter__(self):
         [address] = free_addresses(1)
-        app = web.Application(client_max_size=MAX_BODY)
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_post("/v1/run", self._run)
         app.router.add_post("/v1/transactions", self._commit)
-        app.router.add_post("/{path:.*}", self._take)
+        app.router.add_post("/{path:.*}", self._answer_request)
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
         await self._runner.setup()
         host, _, port = address.rpartition(":")
         await web.TCPSite(self._runner, host, int(port)).start()
-        self.proxy = FaultProxy(address, Link(BYTES_PER_S), Link(BYTES_PER_S))
+        self.proxy = FaultProxy(address, Link(LINK_BYTES_PER_S), Link(LINK_BYTES_PER_S))
         self.address = await self.proxy.start()
         return self
 
@@ -77,7 +77,7 @@
         self.bodies.append(await request.read())
         return web.json_response({"committed": True, "rows": []})
 
-    async def _take(self, request):
+    async def _answer_request(self, request):
         self.bodies.append(await request.read())
         headers = {
             names.ATTEMPT_ID: request.headers.get(names.ATTEMPT_ID, ""),
@@ -97,25 +97,25 @@
 
 
 class TestPlatform:
-    async def test_an_object_that_goes_out_slowly_is_written(self):
+    async def test_an_object_that_is_sent_slowly_is_written(self):
         """A configuration of 48,000 accounts has 18 MB."""
         body = b"x" * 1_200_000
         async with Server() as server, client_of(HttpObjects, server, 1.0) as objects:
             await objects.put("configuration/1.json", body)
         assert server.bodies == [body]
 
-    async def test_a_change_that_goes_out_slowly_is_committed(self):
+    async def test_a_change_that_is_sent_slowly_is_committed(self):
         async with Server() as server, client_of(HttpTable, server) as table:
             result = await table.commit(change_of(600_000))
         assert result.committed
 
-    async def test_one_that_takes_no_more_of_a_body_is_given_up(self):
+    async def test_a_server_that_stops_reading_the_body_times_out(self):
         async with Server() as server, client_of(HttpObjects, server, 0.5) as objects:
             server.proxy.blocked.add(Direction.TO_SERVER)
             began = time.monotonic()
             with pytest.raises(PlatformUnavailable):
                 await objects.put("configuration/1.json", b"x" * 300_000)
-        # The body takes the link half a second, and may take as long again.
+        # Sending the body takes half a second on the link, and may take as long again.
         assert time.monotonic() - began < 2.0
 
 
@@ -143,17 +143,17 @@
         await attempt.backend.connections.close()
         return result.outcome
 
-    async def test_an_input_that_goes_out_slowly_is_run(self):
+    async def test_an_input_that_is_sent_slowly_is_run(self):
         async with Server() as server:
             outcome = await self.outcome(server, "x" * 400_000)
         assert outcome is AttemptOutcome.COMPLETED
 
-    async def test_an_output_that_comes_slowly_is_taken(self):
+    async def test_an_output_that_arrives_slowly_is_accepted(self):
         async with Server(output="x" * 400_000) as server:
             outcome = await self.outcome(server, "in")
         assert outcome is AttemptOutcome.COMPLETED
 
-    async def test_one_that_stops_midway_is_given_up(self):
+    async def test_an_output_that_stops_midway_times_out(self):
         async with Server(output="x" * 400_000) as server:
             call = asyncio.create_task(self.outcome(server, "in"))
             await asyncio.sleep(0.2)
@@ -173,22 +173,24 @@
         )
         request = msgspec.structs.replace(request, incoming=incoming)
         backend = server.backend()
-        call = EngineCall(requests, request, backend, (), PLAIN_SILENCE_S, lambda: None)
+        call = EngineCall(
+            requests, request, backend, (), PLAIN_HEAD_TIMEOUT_S, lambda: None
+        )
         yield call
         call.close()
         await backend.connections.close()
 
-    async def test_a_body_that_goes_out_slowly_is_answered(self):
+    async def test_a_body_that_is_sent_slowly_is_answered(self):
         body = b"x" * 1_000_000
         async with Server() as server, self.call(server, body) as call:
             head = await call.open()
         assert head.status == 200
         assert server.bodies == [body]
 
-    async def test_a_server_that_takes_no_more_of_it_is_given_up(self):
+    async def test_a_server_that_stops_reading_times_out(self):
         async with Server() as server, self.call(server, b"x" * 300_000) as call:
             server.proxy.blocked.add(Direction.TO_SERVER)
             began = time.monotonic()
             with pytest.raises(CallFailed):
                 await call.open()
-        assert time.monotonic() - began < PLAIN_SILENCE_S + 1.5
+        assert time.monotonic() - began < PLAIN_HEAD_TIMEOUT_S + 1.5
--- a/packages/node/tests/test_serving_parts.py
+++ b/packages/node/tests/test_serving_parts.py
@@ -1,4 +1,4 @@
-"""Parts of serving that need no network: stages, reach, owners, events."""
+"""Stage graph, reachability, queue owners and event splitting, without a network."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 from support.clock import Clock
 from support.members import member
 
-FINAL_S = 0.35
+FINAL_CALL_S = 0.35
 
 
 class TestGraph:
@@ -33,7 +33,7 @@
         request = given or routed()
         graph = StageGraph(
             request,
-            plan_stages(request, deployment(), "a", FINAL_S),
+            plan_stages(request, deployment(), "a", FINAL_CALL_S),
             run_items,
             lambda service, handles, owner: freed.extend(handles),
             lambda handle: "a",
@@ -46,7 +46,7 @@
     def handles(service, items, number):
         return [ItemOutcome(handle=f"{p.stage}/{p.number}") for p in items]
 
-    async def test_each_piece_gets_all_results_before_it(self):
+    async def test_each_item_gets_all_results_of_the_stage_before(self):
         graph, inputs, calls, freed = await self.run_graph(self.handles)
         archive = next(p for service, p in calls if service == ARCHIVE)
         assert len(archive) == 16
@@ -54,7 +54,7 @@
         assert archive[0].key is None
         assert inputs == ("0/0", "0/1", *(f"3/{n}" for n in range(16)))
 
-    async def test_results_are_freed_once_their_followers_have_run(self):
+    async def test_results_are_freed_once_their_successors_have_run(self):
         graph, inputs, calls, freed = await self.run_graph(self.handles)
         assert set(freed) == {"1/0", *(f"2/{n}" for n in range(8))}
         graph.release()
@@ -71,12 +71,12 @@
         assert [service for service, _ in calls].count(CLERKS) == 2
 
 
-class TestReach:
+class TestReachability:
     def reach(self):
         clock = Clock()
         return DataCentreReachability(DataCentre("a"), clock), clock
 
-    def test_one_silence_is_not_enough_at_first(self):
+    def test_timeouts_of_two_servers_are_needed_at_first(self):
         reach, clock = self.reach()
         reach.record_timeout("b", "x")
         reach.record_timeout("b", "x")
@@ -84,14 +84,14 @@
         reach.record_timeout("b", "y")
         assert reach.is_suspected("b")
 
-    def test_an_answer_ends_the_doubt(self):
+    def test_an_answer_ends_the_suspicion(self):
         reach, clock = self.reach()
         for name in "xy":
             reach.record_timeout("b", name)
         reach.record_answer("b")
         assert not reach.is_suspected("b")
 
-    def test_a_doubt_without_answer_returns_at_the_first_silence(self):
+    def test_without_an_answer_one_timeout_renews_the_suspicion(self):
         reach, clock = self.reach()
         for name in "xy":
             reach.record_timeout("b", name)
@@ -100,25 +100,25 @@
         reach.record_timeout("b", "z")
         assert reach.is_suspected("b")
 
-    def test_the_own_data_centre_is_never_in_doubt(self):
+    def test_the_local_data_centre_is_never_suspected(self):
         reach, _ = self.reach()
         for name in "xyz":
             reach.record_timeout("a", name)
         assert not reach.is_suspected("a")
 
-    def test_a_suspect_within_reach_is_better_than_one_beyond_a_cut(self):
+    def test_a_suspect_server_is_better_than_an_unreachable_one(self):
         reach, clock = self.reach()
-        near, far = (
+        local, remote = (
             Backend(HostEntry(BackendId(n), "s", f"{n}:1", DataCentre(n))) for n in "ab"
         )
-        near.suspect_until = clock.now + 1.0
-        assert reach.healthiest([near, far]) == [far]
+        local.suspect_until = clock.now + 1.0
+        assert reach.healthiest([local, remote]) == [remote]
         for name in "xy":
             reach.record_timeout("b", name)
-        assert reach.healthiest([near, far]) == [near]
+        assert reach.healthiest([local, remote]) == [local]
 
 
-class TestOwners:
+class TestQueueOwners:
     def setup_method(self):
         self.clock = Clock()
         self.members = [member(f"n{n}", dc) for n, dc in enumerate("aabbcc")]
@@ -143,8 +143,8 @@
         firsts = {self.first(m.id, m.data_centre) for m in self.members}
         assert len(firsts) == 1
 
-    def test_small_hosts_own_nothing_beside_strong_ones(self):
-        """6 hosts of 2 cores beside 70 with a tenth of that, grown deployments."""
+    def test_small_hosts_own_nothing_beside_high_capacity_ones(self):
+        """A grown deployment has 6 hosts of 2 cores and 70 with a tenth of that."""
         self.members += [member(f"s{n}", "abc"[n % 3], 0.1) for n in range(70)]
         for service in map(str, range(50)):
             for own in (self.members[0], self.members[-1]):
@@ -152,11 +152,11 @@
                 owner = owners.candidates(service)[0]
                 assert (owner or own).capacity == 1.0
 
-    def test_small_hosts_own_queues_where_no_strong_one_is_left(self):
+    def test_small_hosts_own_queues_without_high_capacity_ones(self):
         self.members = [member(f"s{n}", "a", 0.1) for n in range(5)]
         assert self.owners("s0", "a").candidates("portal")[0] in [None, *self.members]
 
-    def test_one_that_does_not_answer_is_passed_over_for_a_while(self):
+    def test_an_owner_that_does_not_answer_is_backed_off(self):
         owner = ranked(self.members, "portal", lambda m: m.id)[0]
         own = next(m for m in self.members if m.data_centre != owner.data_centre)
         owners = self.owners(own.id, own.data_centre)
@@ -165,8 +165,8 @@
         self.clock.now = BACKOFF_S
         assert owners.candidates("portal")[0] == owner
 
-    # Three hand-offs that failed in one stall shut their owner out for 6 s.
-    def test_failures_together_are_one_and_an_answer_ends_the_distrust(self):
+    # Three hand-offs that failed in the same stall used to exclude their owner for 6 s.
+    def test_simultaneous_failures_count_once_and_an_answer_ends_backoff(self):
         owner = ranked(self.members, "portal", lambda m: m.id)[0]
         own = next(m for m in self.members if m.data_centre != owner.data_centre)
         owners = self.owners(own.id, own.data_centre)
@@ -178,7 +178,7 @@
         owners.on_answer(owner)
         assert owners.candidates("portal")[0] == owner
 
-    def test_in_a_cut_the_nodes_of_a_data_centre_agree_on_one_of_theirs(self):
+    def test_in_a_partition_nodes_agree_on_a_local_owner(self):
         found = set()
         for own in ("n0", "n1"):
             owners = self.owners(own, "a")
@@ -190,14 +190,14 @@
 
 
 class TestEvents:
-    def test_only_whole_events_are_passed_on(self):
+    def test_only_complete_events_are_forwarded(self):
         splitter = EventSplitter()
         assert splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda") == b"id: 1\ndata: a\n\n"
         assert splitter.partial
         assert splitter.feed(b"ta: b\n\n") == b"id: 2\ndata: b\n\n"
         assert splitter.last_id == "2"
 
-    def test_a_second_run_repeats_nothing(self):
+    def test_a_second_attempt_repeats_no_event(self):
         splitter = EventSplitter()
         splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
         splitter.restart()
@@ -205,8 +205,8 @@
         assert splitter.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
 
     @pytest.mark.parametrize("size", [1, 2, 3, 7])
-    def test_any_split_of_the_bytes_gives_the_same(self, size):
-        whole = b"id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n"
+    def test_the_result_does_not_depend_on_how_bytes_are_split(self, size):
+        stream = b"id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n"
         splitter = EventSplitter()
-        parts = [whole[n : n + size] for n in range(0, len(whole), size)]
-        assert b"".join(splitter.feed(part) for part in parts) == whole
+        parts = [stream[n : n + size] for n in range(0, len(stream), size)]
+        assert b"".join(splitter.feed(part) for part in parts) == stream
