--- a/packages/node/src/eelgrass_node/request/generation.py
+++ b/packages/node/src/eelgrass_node/request/generation.py
@@ -152,7 +152,7 @@
     ) -> bool:
         seq = first + line.seq
         if seq < len(self.chunks) or seq in out_of_order:
-            attempt.on_discard(DiscardReason.REPEATED_PIECE)
+            attempt.on_discard(DiscardReason.REPEATED_CHUNK)
             return True
         if len(out_of_order) >= MAX_OUT_OF_ORDER:
             attempt.on_discard(DiscardReason.TOO_FAR_AHEAD)
--- a/packages/node/src/eelgrass_node/request/reasons.py
+++ b/packages/node/src/eelgrass_node/request/reasons.py
@@ -112,7 +112,7 @@
     """Why data that a backend server sent is discarded."""
 
     WRONG_ATTEMPT = "wrong_attempt"
-    REPEATED_PIECE = "repeated_piece"
+    REPEATED_CHUNK = "repeated_piece"
     TOO_FAR_AHEAD = "too_far_ahead"
 
 
--- a/packages/node/src/eelgrass_node/request/request_execution.py
+++ b/packages/node/src/eelgrass_node/request/request_execution.py
@@ -132,9 +132,7 @@
         self._check_quarantine()
         retry_after_s = self._context.infeasible_retry_after_s(self._routed)
         if retry_after_s is not None:
-            raise RequestRefused(
-                "the stages cannot be completed in time", retry_after_s
-            )
+            raise RequestRefused("the stages have no room in time", retry_after_s)
         inputs = await self._run_stages()
         self._staged_at, self._staged_running_s = _now(), running_time()
         if self._routed.route.stages:
@@ -174,7 +172,7 @@
             return await self._graph.run()
         except StagesFailed as failed:
             raise RequestRefused(
-                f"a stage failed: {failed.failure.value}",
+                f"stages: {failed.failure.value}",
                 max(failed.retry_after_s, RETRY_FULL_S),
             ) from failed
 
@@ -336,13 +334,11 @@
         reason = failed.reason.value
         if not failed.not_run:
             if not routed.route.repeatable:
-                raise RequestRefused(
-                    f"may have run, and the route is not repeatable: {reason}"
-                )
+                raise RequestRefused(f"may have run: {reason}")
             if self._runs >= routed.route.max_attempts:
-                raise RequestRefused(f"failed at every attempt: {reason}", RETRY_FULL_S)
+                raise RequestRefused(f"attempts used up: {reason}", RETRY_FULL_S)
         elif self._refused_calls >= MAX_REFUSED_CALLS:
-            raise RequestRefused(f"not accepted by any server: {reason}", RETRY_FULL_S)
+            raise RequestRefused(f"refused by servers: {reason}", RETRY_FULL_S)
         # A call that reached no server puts no load on one, so that its retry needs no
         # budget.
         reached = failed.reason not in NOT_CONNECTED_REASONS
@@ -366,9 +362,7 @@
         self._context.count("refusal.deadline-passed")
         if self._may_have_run or self._calling:
             return self._answer.refusal(HTTP_GATEWAY_TIMEOUT, "the deadline passed")
-        return self._answer.refusal(
-            HTTP_UNAVAILABLE, "no server was available in time", RETRY_FULL_S
-        )
+        return self._answer.refusal(HTTP_UNAVAILABLE, "no server in time", RETRY_FULL_S)
 
     def _refuse(self, refused: RequestRefused) -> web.StreamResponse:
         self._log_end("Refused.", reason=refused.reason)
--- a/packages/node/src/eelgrass_node/request/server_selection.py
+++ b/packages/node/src/eelgrass_node/request/server_selection.py
@@ -31,7 +31,7 @@
         tried = criteria.tried | denied
         server = context.choose(msgspec.structs.replace(criteria, tried=tried))
         if server is None:
-            raise RequestRefused("the service has no usable server", NO_SERVER_RETRY_S)
+            raise RequestRefused("no server of the service", NO_SERVER_RETRY_S)
         if server.entry.incarnation in denied:
             break
         permit = await context.admit(server)
--- a/packages/node/tests/test_planning.py
+++ b/packages/node/tests/test_planning.py
@@ -38,12 +38,12 @@
         assert plan.begin_after[3] == (2,)
 
     def test_a_stage_that_is_left_out_takes_no_time(self):
-        whole = plan_stages(routed(), deployment(), "a", FINAL_CALL_S)
+        full = plan_stages(routed(), deployment(), "a", FINAL_CALL_S)
         short = plan_stages(
             routed(counts=(2, 0, 8, 16)), deployment(), "a", FINAL_CALL_S
         )
         assert short.begin_after[0] == (2,)
-        assert short.target_by_stage[3] == whole.target_by_stage[3]
+        assert short.target_by_stage[3] == full.target_by_stage[3]
 
 
 class TestCallerGivesUp:
--- a/packages/node/tests/test_serving_parts.py
+++ b/packages/node/tests/test_serving_parts.py
@@ -37,18 +37,18 @@
             run_items,
             lambda service, handles, owner: freed.extend(handles),
             lambda handle: "a",
-            lambda life: False,
+            lambda incarnation: False,
             Fingerprint("a request"),
         )
         return graph, await graph.run(), calls, freed
 
     @staticmethod
     def handles(service, items, number):
-        return [ItemOutcome(handle=f"{p.stage}/{p.number}") for p in items]
+        return [ItemOutcome(handle=f"{i.stage}/{i.number}") for i in items]
 
     async def test_each_item_gets_all_results_of_the_stage_before(self):
         graph, inputs, calls, freed = await self.run_graph(self.handles)
-        archive = next(p for service, p in calls if service == ARCHIVE)
+        archive = next(items for service, items in calls if service == ARCHIVE)
         assert len(archive) == 16
         assert archive[0].inputs == tuple(f"2/{n}" for n in range(8))
         assert archive[0].key is None
