--- a/packages/node/src/eelgrass_node/process/batch_items.py
+++ b/packages/node/src/eelgrass_node/process/batch_items.py
@@ -1,4 +1,4 @@
-"""Pieces of stages and what becomes of them, as values."""
+"""Batch items of pipeline stages and their outcomes, as plain values."""
 
 from enum import Enum
 
@@ -13,7 +13,14 @@
 
 
 class ItemFailure(Enum):
-    """Why a piece has no result."""
+    """Why a batch item has no result.
+
+    ``UNREACHABLE`` means that the call did not reach the server, ``TIMED_OUT`` that no
+    answer came in time, ``LOST`` that the connection broke during the call, ``FAILED``
+    that the server reported an error, and ``NO_ROOM`` that it had no memory for the
+    result. ``OVERLOADED`` is a refusal by the queue, ``LATE`` an item that could not
+    finish before its deadline, and ``INPUT_GONE`` one whose inputs are lost.
+    """
 
     LATE = "late"
     INPUT_GONE = "input_gone"
@@ -26,23 +33,24 @@
 
 
 class BatchItem(msgspec.Struct, eq=False):
-    """One piece of one stage of a request.
-
-    ``key`` names its input where the stage follows no other; otherwise
-    ``inputs`` holds the handles of the results that it needs, and ``makers`` the
-    lives of the servers that hold these. ``deadline`` and
-    ``due`` are on the clock of the event loop: when the piece must be done to be
-    of any use, and when it should be done for its request to be on time. ``near``
-    is the data centre where the result will be fetched, if it matters. ``account``
-    names the client account for which it is made, where there is one, and ``beyond``
-    says that this one asks for more than its share of the service.
-    ``queued_at`` is when it came to the queue, ``alone`` that
-    a call with it went silent, and ``set_size`` counts
-    the pieces of its stage of its request, ``begun``
-    says that others of its set have been run, whose results wait for it, and
-    ``tries`` counts the calls it was in, and ``request`` is the fingerprint of the
-    request, by which its other attempts are known. ``regions`` are those to which it
-    is bound, None for any.
+    """One unit of work of one stage of a request; servers run items in batches.
+
+    ``key`` names the input of a stage that depends on no other stage. Otherwise
+    ``inputs`` holds the handles of the results that the item needs, and ``producers``
+    the server incarnations that hold them. ``fingerprint`` identifies the request
+    across its attempts, and ``account`` is its client account, if it has one.
+
+    ``deadline`` and ``due`` are times of the event loop's clock: after ``deadline`` the
+    result is useless, and after ``due`` the request misses its latency target.
+    ``preferred_data_centre`` is where the result will be fetched, empty if that does
+    not matter. ``regions`` are the regions that may run the item, None for any.
+
+    The queue sets the other fields. ``over_share`` says that the account asks for more
+    than its share of the service. ``set_size`` is the number of items of this stage of
+    the request, and ``set_started`` says that other items of the set have run, whose
+    results stay in memory until the set is complete. ``isolated`` items share no call
+    with other sets, because a call with them timed out or servers crashed under their
+    request. ``tries`` counts the calls that ran the item.
     """
 
     request_id: str
@@ -68,11 +76,11 @@
 
 
 class ItemOutcome(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A handle of the result, or why there is none.
+    """The handle of an item's result, or the reason why there is none.
 
-    ``retry_after_s`` says when to come back where the piece was refused,
-    ``maker`` which life of a server holds the result, and ``owner`` which other
-    node's queue counts the memory that it takes there.
+    ``retry_after_s`` tells a refused caller when to retry, ``producer`` is the server
+    incarnation that holds the result, and ``owner`` the other node, if any, whose queue
+    accounts for the memory that the result takes up.
     """
 
     handle: str | None = None
--- a/packages/node/src/eelgrass_node/process/batch_queue.py
+++ b/packages/node/src/eelgrass_node/process/batch_queue.py
@@ -1,10 +1,11 @@
-"""The queue before one service that runs stages, and the calls made from it.
+"""The batch queue of one service that runs stages, and the calls made from it.
 
-The pattern it answers: every call costs the server a fixed time (150 ms on the
-users' sheets, as much as five to forty pieces), so throughput comes from full
-calls; bursts are two to three times the usual load of one kind of request. One
-queue per service lets calls fill while all servers are busy, and takes a piece
-at once where one is idle. No network here: a call is a function.
+Every call costs the server a fixed time (150 ms, as much as five to forty items), so
+throughput depends on full calls, and bursts reach two to three times the normal load
+of one kind of request. With one queue per service, calls fill up while all servers are
+busy, and an item runs at once if a server is idle.
+
+This module does no network I/O: a call is a function that it is given.
 """
 
 import asyncio
@@ -33,31 +34,33 @@
 
 RunCall = Callable[[Backend, list[BatchItem], float], Awaitable[list[ItemOutcome]]]
 
-# A piece is run at most this often; the second and third time after a failure.
+# An item is run at most this often; the second and third time only after a failure.
 MAX_TRIES = 3
-# A call is given up after this many times its expected time and this much more:
-# slow servers are 4 to 8 times as slow, dark ones never answer.
+# A call times out after its expected time multiplied by the factor, plus the slack:
+# slow servers take 4 to 8 times as long, and unreachable ones never answer.
 GIVE_UP_FACTOR = 2.5
 GIVE_UP_SLACK_S = 0.25
-# Refused callers come back spread over this much, so as not to come together.
+# The shortest retry delay for refused callers. Replies add a random part in proportion
+# to the delay, so that callers do not retry all at once.
 MIN_RETRY_AFTER_S = 0.2
-# Late pieces beyond this much work of all servers are refused: after a burst
-# they are served within some three times as long, which callers still wait.
+# Late items are refused if those that wait amount to this many seconds of work of all
+# servers. After a burst such a backlog is served within about three times as long, and
+# callers still wait that long.
 LATE_BACKLOG_S = 1.0
-# The longest wait that is told to other nodes: longer than any caller waits, and
-# finite, since without a server the wait has no end and JSON no word for that.
+# The longest wait reported to other nodes. It is longer than any caller waits, and
+# finite because a queue without servers has an infinite wait, which JSON cannot encode.
 LONGEST_TOLD_S = 60.0
-# How soon waiting pieces are looked at again where nothing else calls for it.
+# When waiting items are rechecked if no other event triggers it.
 FILL_AGAIN_S = 0.05
 
 
 class BatchQueue:
-    """Pieces that wait for a server of ``service``.
+    """Items that wait for a server of ``service``.
 
-    ``servers`` returns those that may get work, ``data_centre_of`` tells where a
-    result lies, and ``is_over`` whether a life of a server has ended.
-    ``may_repeat`` asks for one more call of a piece, ``record_wait`` is
-    told how long pieces waited, and ``free_results`` frees results that nobody
+    ``servers`` returns the servers that may get work, ``data_centre_of`` the data
+    centre that holds a result, and ``has_ended`` whether a server incarnation is over.
+    ``may_retry`` asks the retry budget for one more call of an item, ``record_wait``
+    records how long items waited, and ``free_results`` frees results that no request
     waits for any more.
     """
 
@@ -92,14 +95,14 @@
 
     @property
     def waiting(self) -> int:
-        """How many pieces wait."""
+        """The number of waiting items."""
         return len(self._waiting)
 
     async def run(self, items: list[BatchItem]) -> list[ItemOutcome]:
-        """Run pieces and return their outcomes, in order.
+        """Run an item set and return the outcomes, in order.
 
-        Where the caller of this is cancelled, pieces that still wait are
-        withdrawn; those that a server works on go on, and all results are freed.
+        If the caller is cancelled, waiting items are withdrawn, calls that have started
+        go on, and all results are freed.
         """
         now = _now()
         self._shares.record_demand(items, self._order.work_s(len(items)), now)
@@ -123,12 +126,12 @@
             self._waiting.withdraw(items)
 
     def free(self, incarnation: ServerIncarnation, handles: list[str]) -> None:
-        """Note that results were freed at a server."""
+        """Record that results were freed at a server."""
         self._servers.free(incarnation, handles)
         self.start_calls()
 
     def load(self) -> QueueLoad:
-        """Return the load of the queue, for other nodes."""
+        """Return the load of the queue, as reported to other nodes."""
         now = _now()
         self._update_shares(now)
         limits = self._limits()
@@ -158,15 +161,15 @@
         )
 
     def _told_wait(self, ahead: int, now: float) -> float:
-        """Return the wait behind ``ahead`` pieces, as it is told to other nodes."""
+        """Return the wait behind ``ahead`` items, as reported to other nodes."""
         return round(min(self._servers.expected_wait(ahead, now), LONGEST_TOLD_S), 3)
 
     def use_by_id(self, now: float) -> dict[BackendId, dict[str, float]]:
-        """Return what the queue has at its sound servers, for operators."""
+        """Return how the queue uses its healthy servers, for operators."""
         return self._servers.use_by_id(now)
 
     def start_calls(self) -> None:
-        """Start calls at idle servers, as far as pieces wait."""
+        """Start calls at idle servers while items are waiting."""
         while self._waiting:
             now = _now()
             self._update_shares(now)
@@ -176,7 +179,7 @@
                 return
 
     def _start_one(self, now: float) -> bool:
-        """Start a call at the first idle server that has pieces to take."""
+        """Start a call at the first idle server that has items to run."""
         for server in self._servers.idle(len(self._waiting), now):
             batch = self._select_batch(server, now)
             if batch:
@@ -185,7 +188,7 @@
         return False
 
     def _fill_later(self) -> None:
-        """Look again soon: pieces may wait for a nearer server, or for room."""
+        """Recheck soon: items may wait for a preferred server, or for memory."""
         if self._fill_timer is None:
             loop = asyncio.get_running_loop()
             self._fill_timer = loop.call_later(FILL_AGAIN_S, self._fill_again)
@@ -200,19 +203,20 @@
         )
 
     def _refusal(self, items: list[BatchItem], now: float) -> ItemOutcome | None:
-        """Return a refusal where the pieces cannot be run in time."""
+        """Return a refusal if the items cannot run in time, otherwise None."""
         first = items[0]
         wait_s = self._servers.expected_wait(self._ahead_of(first, now), now)
         if first.over_share:
-            # Others that come later go first.
+            # Items within their share that arrive later overtake this one.
             wait_s /= self._shares.left_fraction
         end = now + wait_s + self._servers.call_s(len(items))
         if first.inputs and end <= first.deadline:
             return None
         if end <= first.due:
             return None
-        # It would be late. Late ones get what the others leave; where many wait
-        # for that already, it is better told at once than after a wait in vain.
+        # The items would be late, and late items only get the capacity that is left.
+        # If many of them wait already, an immediate refusal is better than a wait that
+        # ends without a result.
         late_s = self.load().late_s
         if end <= first.deadline and late_s < LATE_BACKLOG_S:
             return None
@@ -226,7 +230,7 @@
         return ItemOutcome(failure=ItemFailure.OVERLOADED, retry_after_s=after_s)
 
     def _ahead_of(self, first: BatchItem, now: float) -> int:
-        """Return how many pieces go before a newcomer; late ones go after it."""
+        """Return how many items run before a new one; late ones run after it."""
         own = rank(first)
         return sum(
             len(items)
@@ -247,14 +251,14 @@
                 self._log_late(items, now)
                 self._settle_all(items, outcome)
             elif self._servers.inputs_lost(items[0]):
-                # Their inputs are out of reach; they can be made again here.
+                # The request then runs the earlier stages again to replace the inputs.
                 self._settle_all(items, ItemOutcome(failure=ItemFailure.INPUT_GONE))
 
     def _log_late(self, items: Sequence[BatchItem], now: float) -> None:
         first = items[0]
         log(
             Part.PIECES,
-            "Pieces are given up as late.",
+            "Dropped batch items that cannot finish before their deadline.",
             service=self.service,
             id=first.request_id,
             pieces=len(items),
@@ -293,7 +297,7 @@
         use.free_at = now + expected_s
         log(
             Part.PIECES,
-            "A call starts.",
+            "Batch call started.",
             service=self.service,
             backend=server.entry.id,
             pieces=len(batch),
@@ -326,7 +330,7 @@
         finally:
             use.calls -= 1
         now = _now()
-        # What this process stood still says nothing of the server's pace.
+        # Stalls of this process are left out: the server was not slow meanwhile.
         took_s = running_time() - began
         self._servers.record_call(server, batch, outcomes, took_s)
         made = sum(outcome.handle is not None for outcome in outcomes)
@@ -342,7 +346,7 @@
         self.start_calls()
 
     def _free_made(self, futures: Sequence[asyncio.Future[ItemOutcome]]) -> None:
-        """Free the results that are there of a set that nobody waits for any more."""
+        """Free the finished results of a set whose caller is gone."""
         made = [f.result() for f in futures if f.done() and not f.cancelled()]
         handles = [outcome.handle for outcome in made if outcome.handle is not None]
         if handles:
@@ -353,7 +357,7 @@
         futures: dict[BatchItem, asyncio.Future[ItemOutcome]],
         outcomes: list[ItemOutcome],
     ) -> None:
-        """Free results whose caller has gone away; they would hold memory."""
+        """Free results whose caller is gone; they would take up server memory."""
         unwanted = [
             outcome.handle
             for future, outcome in zip(futures.values(), outcomes, strict=True)
@@ -368,7 +372,7 @@
         item.tries += 1
         again = outcome.failure in SERVER_FAILURES | {ItemFailure.NO_ROOM}
         if outcome.failure is ItemFailure.NO_ROOM:
-            # It was not run; the next call is made when there is more room.
+            # The server did not run the item; it is called again when memory is free.
             item.tries -= 1
         if again and item.tries < MAX_TRIES and not future.done():
             if self._may_retry(item):
--- a/packages/node/src/eelgrass_node/process/batch_selection.py
+++ b/packages/node/src/eelgrass_node/process/batch_selection.py
@@ -1,13 +1,13 @@
-"""Which waiting pieces make up the next call to a server.
+"""Selects the waiting batch items that make up the next call to a server.
 
-The pattern it answers: a server has memory for the results of one or two calls
-(seven of 3 MB on the users' sheets, four pieces a call). A result lives until
-all of its request is fetched, so pieces of a request that are made in different
-calls hold memory while they wait for each other, and in a burst nearly all
-memory was held so: calls of 1.2 to 2.4 pieces with 90 waiting. The pieces of one
-stage of a request therefore go into one call, or wait together.
+A server has memory for the results of one or two calls, for example for seven results
+of 3 MB at four items a call. A result stays in memory until all results of its request
+have been fetched, so items of one request that run in different calls hold memory
+while they wait for each other. In bursts nearly all memory was held this way: calls
+carried 1.2 to 2.4 items while 90 were waiting. The items of one stage of a request
+therefore go into the same call, or wait together.
 
-No network and no clock here.
+This module does no I/O and reads no clock.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -16,13 +16,13 @@
 
 __all__ = ["RESERVE_AFTER_S", "select_batch"]
 
-# A set of pieces that has found no room for this long keeps later ones from
-# taking what comes free; about two calls.
+# An item set that has not fitted into memory for this long, about two calls, reserves
+# memory: later sets of large results must not use what is freed.
 RESERVE_AFTER_S = 0.5
-# Where a server has this part of its memory left, a set may be made in parts, so
-# that no place stays empty: sets of six leave four of ten places.
+# A set may be split across calls if this fraction of the server's memory stays free, so
+# that calls run full: with ten items a call, sets of six would leave four unused.
 AMPLE_FRACTION = 0.1
-# Results under this size never stand in the way of large ones.
+# Sets with results below this size neither reserve memory nor wait for a reservation.
 SMALL_BYTES = 100_000
 
 
@@ -34,11 +34,11 @@
     size_of: Callable[[BatchItem], float],
     now: float,
 ) -> list[BatchItem]:
-    """Return pieces for one call with ``places``, from sets in their order.
+    """Return the items of one call with up to ``max_items``, from sets in order.
 
-    A set holds the waiting pieces of one stage of one request. ``room`` is what a
-    server has left of its ``memory`` for results, in bytes; ``size_of`` gives the
-    bytes of a result.
+    Each set holds the waiting items of one stage of one request. ``free_bytes`` is what
+    the server has left of its ``memory_bytes`` for results, and ``size_of`` returns the
+    expected size of an item's result in bytes.
     """
     batch: list[BatchItem] = []
     reserved = False
@@ -46,10 +46,10 @@
         if len(batch) == places:
             break
         if batch and (group[0].isolated or batch[0].isolated):
-            # A server hangs on a piece whose inputs it cannot reach, and the
-            # whole call with it.
+            # An isolated set gets a call of its own: a server that cannot reach the
+            # inputs of one item blocks on it, and with it the whole call.
             continue
-        # Pieces of a set have results of one size.
+        # All items of a set have results of the same size.
         size = size_of(group[0]) * len(group)
         small = group[0].result_bytes < SMALL_BYTES
         if reserved and not small:
@@ -64,8 +64,8 @@
             or size > memory
             or room - part_size >= memory * AMPLE_FRACTION
         ):
-            # Too many for any one call, or memory enough for those that wait:
-            # they go in parts.
+            # Split the set: it fits into no single call, or enough memory stays free
+            # for the sets that wait.
             part = _part(group, left, room, size_of)
             batch += part
             room -= sum(size_of(item) for item in part)
@@ -76,7 +76,7 @@
 
 
 def _holds_up(group: Sequence[BatchItem], now: float) -> bool:
-    """Return whether room is kept free for pieces that found none."""
+    """Return whether memory is reserved for a set that did not fit."""
     return group[0].set_started or now - group[0].queued_at > RESERVE_AFTER_S
 
 
--- a/packages/node/src/eelgrass_node/process/item_order.py
+++ b/packages/node/src/eelgrass_node/process/item_order.py
@@ -1,4 +1,4 @@
-"""In which order waiting pieces are run, and which rather wait for a nearer server."""
+"""Orders waiting items, and holds some back for a server in a preferred data centre."""
 
 from collections.abc import Callable
 
@@ -9,45 +9,47 @@
 
 __all__ = ["ItemOrder", "rank"]
 
-# How much later a set goes for each second of a server that it takes.
+# How many seconds later a set is ordered for each second of server time that it takes.
 LARGE_SET_WEIGHT = 3.0
-# A piece waits this long at most for a server in the data centre where its
-# result will be fetched, if it can afford that: about one call.
+# The longest time, about one call, that an item waits for a server in the data centre
+# where its result will be fetched, provided that it still meets its latency target.
 NEAR_PATIENCE_S = 0.3
 
 
 def rank(item: BatchItem) -> tuple[bool, int, float]:
-    """Sort pieces as if all could be on time: by share, by rank and by time."""
+    """Return a sort key that ignores lateness: share, priority and latency target."""
     return (item.over_share, item.priority, item.due)
 
 
 class ItemOrder:
-    """The order of one queue, before its servers; times are in seconds."""
+    """The order in which one queue runs its items; times are in seconds."""
 
     def __init__(self, limits: Callable[[], BatchLimits], servers: QueueServers):
         self._limits = limits
         self._servers = servers
 
     def work_s(self, items: int) -> float:
-        """Return the seconds of a server that pieces take in full calls."""
+        """Return the server time in seconds that so many items take in full calls."""
         limits = self._limits()
         return items * (limits.call_s / limits.batch + limits.item_s)
 
     def is_late(self, item: BatchItem, now: float) -> bool:
-        """Return whether a request cannot be on time even if it is next."""
+        """Return whether an item misses its latency target even if it runs next."""
         return item.due < now + self._servers.call_s(1)
 
     def key(
         self, item: BatchItem, data_centre: str, now: float
     ) -> tuple[bool, bool, bool, int, float]:
-        """Sort those that can be on time first, then by share, by rank and by time.
+        """Return the sort key of an item on servers of ``data_centre``.
 
-        Before all go the rest of sets that have begun, whose results take up
-        memory until they are complete. A piece that is late anyway earns
-        little; it takes what the others leave.
-        One whose result is fetched in this data centre goes a little earlier,
-        and one of a large set later: for the time of one set of eight, four
-        sets of two are served, which are worth as much each.
+        Sets that have started go first, because their results take up memory until the
+        set is complete. Items that can meet their latency target come next; a late
+        result is worth little, so late items get the capacity that is left. Within
+        these groups the order is by share, priority and time.
+
+        Items whose result is fetched in this data centre go a little earlier, and large
+        sets go later: in the time of one set of eight, four sets of two can be served,
+        and each set is worth the same.
         """
         late = self.is_late(item, now)
         time = item.due + self.work_s(item.set_size) * LARGE_SET_WEIGHT
@@ -56,7 +58,7 @@
         return (not item.set_started, late, item.over_share, item.priority, time)
 
     def waits_for_preferred(self, item: BatchItem, server: Backend, now: float) -> bool:
-        """Return whether a piece rather waits for a server nearer to its use."""
+        """Return whether an item should wait for a server where its result is used."""
         if (
             not item.preferred_data_centre
             or item.preferred_data_centre == server.entry.data_centre
@@ -69,6 +71,6 @@
         wait_s = self._servers.wait_at(item.preferred_data_centre, size, now)
         if wait_s > NEAR_PATIENCE_S:
             return False
-        # One that is late anyway has the time; others must not become so.
+        # The wait must not make an item late; one that is late already may wait.
         end = now + wait_s + self._servers.call_s(limits.batch)
         return wait_s == 0.0 or end <= item.due or self.is_late(item, now)
--- a/packages/node/src/eelgrass_node/process/queue_servers.py
+++ b/packages/node/src/eelgrass_node/process/queue_servers.py
@@ -1,7 +1,8 @@
-"""The servers behind a queue of pieces: which are idle, and how fast they are.
+"""Tracks the servers of a batch queue: which are idle, how fast and how full they are.
 
-The patterns it answers: one of three servers turns four to eight times as slow;
-servers go dark; a server holds results that this node does not know of.
+It copes with a server that becomes four to eight times as slow (one of three did),
+with servers that become unreachable, and with servers that hold results of which this
+node does not know.
 """
 
 import asyncio
@@ -20,16 +21,17 @@
 
 __all__ = ["SERVER_FAILURES", "QueueServers"]
 
-# Sizes of results are told as about so much. Where a server has less room than
-# they add up to, they are taken for larger, up to a third; the decay forgets
+# The configured sizes of results are approximate. If a server has less memory left than
+# they add up to, the node assumes larger results, up to about a third. The decay undoes
 # that over some twenty calls, a few seconds.
 SIZE_GROWTH = 1.05
 SIZE_DECAY = 0.985
 MAX_SIZE_FACTOR = 1.35
-# A server that has no room is taken for full for this long, about a call.
+# A server that refused for lack of memory counts as full for this long, about a call.
 UNKNOWN_RESULTS_S = 0.25
 UNKNOWN_RESULTS = "unknown"
-# What is kept of servers that are gone, against those that are listed.
+# How many times as many servers may be remembered as are listed; then those that are
+# no longer listed are dropped.
 MAX_KEPT_FACTOR = 4
 
 SERVER_FAILURES = frozenset(
@@ -40,9 +42,8 @@
 class QueueServers:
     """The servers of ``service`` as one queue uses them.
 
-    ``listed`` returns those that may get work, and ``data_centre_of`` tells
-    where a result lies. ``is_over`` tells of a life of a server whether it has
-    ended.
+    ``listed`` returns the servers that may get work, ``data_centre_of`` the data centre
+    that holds a result, and ``has_ended`` whether a server incarnation has ended.
     """
 
     def __init__(
@@ -64,11 +65,11 @@
         self._size_factor = 1.0
 
     def healthy(self) -> Sequence[Backend]:
-        """Return the most trusted servers there are."""
+        """Return the healthy servers, or the best there are if none is healthy."""
         return self._reach.healthiest(self._listed())
 
     def use(self, server: Backend) -> ServerUse:
-        """Return what the queue has at a server."""
+        """Return how the queue uses a server."""
         incarnation = server.entry.incarnation
         use = self._use_by_incarnation.get(incarnation)
         if use is None:
@@ -77,37 +78,37 @@
         return use
 
     def free(self, incarnation: ServerIncarnation, handles: list[str]) -> None:
-        """Note that results were freed at a server."""
+        """Record that results were freed at a server."""
         use = self._use_by_incarnation.get(incarnation)
         if use is not None:
             for handle in handles:
                 use.free(handle)
 
     def use_by_id(self, now: float) -> dict[BackendId, dict[str, float]]:
-        """Return what the queue has at its sound servers, for a log line."""
+        """Return how the queue uses its healthy servers, for a log line."""
         return {
             server.entry.id: self.use(server).summary(now) for server in self.healthy()
         }
 
     def call_s(self, items: int) -> float:
-        """Return the expected seconds of a call with that many pieces."""
+        """Return the expected duration of a call with that many items."""
         limits = self._limits()
         return limits.call_s + limits.item_s * items
 
     def size(self, item: BatchItem) -> float:
-        """Return the bytes that the result of a piece is expected to take."""
+        """Return the expected size of an item's result, in bytes."""
         return item.result_bytes * self._size_factor
 
     def room(self, server: Backend, now: float) -> float:
-        """Return the bytes that a server has left for results."""
+        """Return the memory that a server has left for results, in bytes."""
         return self._limits().memory_bytes - self.use(server).held_bytes(now)
 
     def slots(self) -> int:
-        """Return how many calls the sound servers run at a time, at least 1."""
+        """Return how many calls the healthy servers run at a time, at least 1."""
         return max(1, len(self.healthy()) * self._limits().slots)
 
     def expected_wait(self, ahead: int, now: float) -> float:
-        """Return the seconds until a piece behind ``ahead`` others is taken."""
+        """Return the seconds until an item behind ``ahead`` others starts to run."""
         servers = self.healthy()
         if not servers:
             return math.inf
@@ -117,17 +118,17 @@
         return max(0.0, free_at - now) + rounds * self.call_s(batch)
 
     def idle(self, waiting: int, now: float) -> list[Backend]:
-        """Return the idle servers that are worth a call, the fastest first."""
+        """Return the idle servers that are fast enough for a call, fastest first."""
         slots = self._limits().slots
         idle = [s for s in self.healthy() if self.use(s).calls < slots]
         useful = [server for server in idle if self._is_useful(server, waiting, now)]
         return sorted(useful, key=lambda server: self.use(server).slowness(now))
 
     def wait_at(self, data_centre: str, size: float, now: float) -> float:
-        """Return the seconds until a sound server in a data centre is free.
+        """Return the seconds until a healthy server in a data centre is free.
 
-        An idle one without room for results of ``size`` bytes counts as one that
-        is not there; where there is none, the wait is infinite.
+        Idle servers without memory for results of ``size`` bytes are ignored. Without
+        any server the wait is infinite.
         """
         near = [s for s in self.healthy() if s.entry.data_centre == data_centre]
         return min(
@@ -141,7 +142,7 @@
         return 0.0 if self.room(server, now) >= size else math.inf
 
     def inputs_lost(self, item: BatchItem) -> bool:
-        """Return whether inputs of a piece are gone, or probably out of reach."""
+        """Return whether inputs of an item are lost, or probably unreachable."""
         if any(self._is_over(producer) for producer in item.producers):
             return True
         return any(self._reach.is_suspected(place) for place in self._places(item))
@@ -153,7 +154,7 @@
         outcomes: list[ItemOutcome],
         took_s: float,
     ) -> None:
-        """Take in how a call ended and how long it took, in seconds."""
+        """Record how a call ended and how long it took, in seconds."""
         failures = {outcome.failure for outcome in outcomes}
         use = self.use(server)
         if ItemFailure.TIMED_OUT in failures:
@@ -162,24 +163,27 @@
             self._reach.record_answer(server.entry.data_centre)
         if ItemFailure.UNREACHABLE not in failures:
             use.record_call(took_s / self.call_s(len(batch)), _now())
-        # A server that works fails single pieces now and then.
+        # A healthy server fails single items now and then, so it is only suspected if
+        # the whole call failed.
         if failures <= SERVER_FAILURES:
             if not self._hangs_on_inputs(server, batch, failures):
                 server.suspect()
-            self._log_call("A call failed.", server, batch, outcomes, took_s)
+            self._log_call("Batch call failed.", server, batch, outcomes, took_s)
             return
         server.record_success(took_s)
         if ItemFailure.NO_ROOM in failures:
             self._note_full(use)
-            self._log_call("No room for results.", server, batch, outcomes, took_s)
+            self._log_call(
+                "Server has no memory for results.", server, batch, outcomes, took_s
+            )
         else:
             self._size_factor = max(1.0, self._size_factor * SIZE_DECAY)
 
     def _is_useful(self, server: Backend, waiting: int, now: float) -> bool:
-        """Return whether pieces end sooner here than by waiting for the others.
+        """Return whether items finish sooner here than if they wait for the others.
 
-        A server that is five times as slow is worth a call only where so many
-        pieces wait that the others would need as long.
+        A server that is five times as slow is only called if so many items wait that
+        the other servers would need as long for them.
         """
         others = [self.use(other) for other in self.healthy() if other is not server]
         if not others:
@@ -194,11 +198,11 @@
         return here <= elsewhere + rounds * call_s
 
     def _note_full(self, use: ServerUse) -> None:
-        """Take a server for full for a moment, and results for larger.
+        """Treat a server as full for a moment, and assume larger results.
 
-        A server that this node has not called for long may hold results of an
-        owner of the queue before it, which go within their short life: that
-        says nothing of their size.
+        The assumed size stays the same if this node has used the server for less than
+        the lifetime of results: the server may then hold results of a previous queue
+        owner, which says nothing about the size of results.
         """
         now = _now()
         if now - use.known_since > self._limits().result_life_s:
@@ -207,9 +211,10 @@
         use.hold(UNKNOWN_RESULTS, int(rest), now + UNKNOWN_RESULTS_S)
 
     def _note_silent(self, server: Backend, batch: list[BatchItem]) -> None:
-        """Note which data centres a call that went silent puts in doubt.
+        """Report the data centres that may be unreachable after a call timed out.
 
-        The server may be out of reach, or those that hold its inputs from it.
+        The server may be unreachable from this node, or the servers that hold the
+        inputs may be unreachable from it.
         """
         for item in batch:
             item.isolated = True
@@ -220,17 +225,17 @@
     def _hangs_on_inputs(
         self, server: Backend, batch: list[BatchItem], failures: set[ItemFailure | None]
     ) -> bool:
-        """Return whether a silent call may be the fault of inputs from elsewhere."""
+        """Return whether a call may have timed out on inputs of other data centres."""
         own = {server.entry.data_centre}
         foreign = any(self._places(item) - own for item in batch)
         return foreign and ItemFailure.TIMED_OUT in failures
 
     def _places(self, item: BatchItem) -> set[str]:
-        """Return the data centres that hold the inputs of a piece."""
+        """Return the data centres that hold the inputs of an item."""
         return {self._data_centre_of(handle) for handle in item.inputs}
 
     def _forget_gone(self) -> None:
-        """Drop what is known of servers that are no longer listed."""
+        """Drop the entries of servers that are no longer listed."""
         listed = {server.entry.incarnation for server in self._listed()}
         if len(self._use_by_incarnation) > MAX_KEPT_FACTOR * len(listed):
             for incarnation in self._use_by_incarnation.keys() - listed:
