--- a/packages/node/src/eelgrass_node/process/local_queues.py
+++ b/packages/node/src/eelgrass_node/process/local_queues.py
@@ -1,4 +1,4 @@
-"""The queues of this node before the services that run stages."""
+"""The batch queues that this node holds, one for each service that runs stages."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,7 +14,7 @@
 
 __all__ = ["LocalQueues"]
 
-# Where a configuration gives no limits for a service that a stage names.
+# Used if the configuration gives no limits for a service that a stage names.
 UNKNOWN_LIMITS = BatchLimits(
     slots=1,
     queue=0,
@@ -29,12 +29,12 @@
 
 
 class LocalQueues:
-    """Runs pieces from queues in this process, and frees their results.
+    """Runs batch items through queues in this process, and frees their results.
 
-    ``maker_of`` gives the address of the server that holds a result, and
-    ``record_wait`` is told how long the pieces of a service waited, in seconds.
-    ``poison`` knows the requests that are not sent to servers any more, and
-    ``is_bounded`` the servers that are cold and get no pieces until they are warm.
+    ``producer_of`` returns the address of the server that holds a result, and
+    ``record_wait`` records how many seconds the items of a service waited. ``poison``
+    keeps poison requests from being sent to servers, and ``is_bounded`` tells which
+    servers are cold; they get no items until they are warm.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
     async def run(
         self, service: ServiceName, items: list[BatchItem]
     ) -> list[ItemOutcome]:
-        """Run pieces of one stage and return their outcomes, in order."""
+        """Run items of one stage and return their outcomes, in order."""
         self._retries.record_requests(service, len(items))
         if not self._usable(service, items[0].regions):
             return [ItemOutcome(failure=ItemFailure.UNREACHABLE)] * len(items)
@@ -75,12 +75,12 @@
     def has_servers(self, service: ServiceName) -> bool:
         """Return whether this node knows a server of a service.
 
-        One that has just started is a member before it has read the list.
+        A node that has just started is a member before it has read the server list.
         """
         return bool(self._backends.by_service.get(service))
 
     def load(self, service: ServiceName) -> QueueLoad:
-        """Return the load of the queue of a service, for other nodes."""
+        """Return the load of a service's queue, as reported to other nodes."""
         return self.queue(service).load()
 
     def free(self, service: ServiceName, handles: list[str]) -> None:
@@ -92,7 +92,7 @@
             backend = self._backends.at_address(address)
             if backend is None:
                 continue
-            # Nothing is sent to a data centre that is emptied; results expire there.
+            # Nothing is sent to an evacuated data centre; its results expire.
             if not self._backends.is_evacuated(backend.entry.data_centre):
                 task = asyncio.create_task(self._free(service, backend, held))
                 self._tasks.add(task)
@@ -126,7 +126,7 @@
         return found
 
     def servers_changed(self, service: str) -> None:
-        """Serve pieces that a change of servers has made room for."""
+        """Start calls that a change of the service's servers has made possible."""
         queue = self.by_service.get(ServiceName(service))
         if queue is not None:
             queue.start_calls()
@@ -134,7 +134,7 @@
     def _usable(
         self, service: ServiceName, regions: frozenset[str] | None = None
     ) -> list[Backend]:
-        """Return the servers of a service in some regions that may get pieces."""
+        """Return the servers of a service in some regions that may get items."""
         return [
             server
             for server in self._backends.usable(service)
@@ -144,7 +144,7 @@
     async def _call(
         self, backend: Backend, items: list[BatchItem], within_s: float
     ) -> list[ItemOutcome]:
-        """Run pieces in one call; note the requests of one that lost its server."""
+        """Run items in one call; report their requests if the server was lost."""
         outcomes = await self._run_call(backend, items, within_s)
         failures = {outcome.failure for outcome in outcomes}
         if not failures <= {ItemFailure.LOST, ItemFailure.TIMED_OUT}:
@@ -152,7 +152,8 @@
         requests = {item.fingerprint for item in items if item.fingerprint}
         await self._poison.on_connection_lost(backend, requests)
         for item in items:
-            # What ends servers alone spares the pieces of other requests.
+            # After servers crashed under a request, its items run in calls of their
+            # own, so that items of other requests are not lost with them.
             ended = self._poison.quarantine.crashed_servers(item.fingerprint)
             item.isolated |= len(ended) > 1
         if ItemFailure.LOST not in failures:
--- a/packages/node/src/eelgrass_node/process/owner_checks.py
+++ b/packages/node/src/eelgrass_node/process/owner_checks.py
@@ -1,8 +1,8 @@
-"""Asks owners of queues that went silent, by probes, whether they are back.
+"""Probes queue owners that did not answer, to use them again as soon as they do.
 
-The pattern it answers: a host stands still for part of a second. The nodes that
-handed it pieces then ran a queue of their own before the same servers for seconds,
-long after it went on, and each took results of the others for a full server.
+Without probes, a host that stalled for part of a second was skipped for seconds after
+it had recovered. Meanwhile the nodes that had handed it items ran queues of their own
+on the same servers, and each mistook results of the others for a full server.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 __all__ = ["OwnerChecks"]
 
-# A probe is one datagram there and one back.
+# Frequent probes are cheap: each is one datagram in each direction.
 PROBE_AGAIN_S = 0.1
 
 
@@ -28,19 +28,19 @@
         self._running: dict[NodeId, asyncio.Task] = {}
 
     def check(self, owner: Member) -> None:
-        """Probe an owner for as long as it is distrusted."""
+        """Probe an owner for as long as it is backed off."""
         if owner.id not in self._running:
             task = asyncio.create_task(self._check(owner))
             self._running[owner.id] = task
             task.add_done_callback(lambda _: self._running.pop(owner.id))
 
     def on_ack(self, member: Member) -> None:
-        """Trust an owner again that answers a probe."""
+        """End the backoff of an owner that answers a probe."""
         if member.id in self._running:
             self._owners.on_answer(member)
 
     def stop(self) -> None:
-        """End all checks."""
+        """Stop all checks."""
         for task in self._running.values():
             task.cancel()
 
--- a/packages/node/src/eelgrass_node/process/queue_owners.py
+++ b/packages/node/src/eelgrass_node/process/queue_owners.py
@@ -1,16 +1,15 @@
-"""Which node holds the queue of a service, as one node sees it.
-
-The owner of a service's queue is found by hashing over the live members, so
-that all nodes agree without a word. Ownership is a matter of efficiency only:
-pieces may be made again, and a backend server says when it is full. Nodes that
-disagree for a while, or an owner that is dead, frozen or cut off, therefore
-break no promise. An owner that fails to answer is passed over for a while, in
-favour of one in the own data centre, which a cut between data centres leaves in
-reach.
-
-The pattern that capacities answer: hosts are of unequal size (0.5 to 2.2 cores,
-links of 5 to 100 Mbit/s on the grown sheets). A queue on a small one was late with
-every answer in a burst, so that each node went its own way.
+"""Determines which node holds the queue of a service, as seen by one node.
+
+The owner of a service's queue is chosen by hashing over the live members, so all nodes
+agree without exchanging messages. A single owner is only needed for efficiency: items
+can be run again, and a backend server refuses calls when it is full. It is therefore
+safe if nodes disagree for a while, or if an owner is dead, frozen or partitioned off.
+An owner that does not answer is skipped for a while in favour of one in this node's
+data centre, which stays reachable when data centres are partitioned from each other.
+
+Only high-capacity nodes own queues, because hosts differ in size: from 0.5 to 2.2
+cores, with links of 5 to 100 Mbit/s. A queue on a small host answered every request of
+a burst too late, so that each node fell back to a queue of its own.
 """
 
 from collections import Counter
@@ -24,17 +23,17 @@
 
 __all__ = ["QueueOwners"]
 
-# An owner that failed is asked again after this long, doubled with each further
-# failure; membership takes some 5 s to find a node dead, and a frozen one wakes
-# after a few.
+# How long an owner that failed is skipped, doubled with each further failure.
+# Membership takes about 5 s to detect a dead node, and a frozen one recovers after a
+# few seconds.
 BACKOFF_S = 1.5
 MAX_BACKOFF_S = 6.0
 
 
 class QueueOwners:
-    """The owners of the queues, for the node ``own`` in ``data_centre``.
+    """The queue owners, as seen by the node ``own`` in ``data_centre``.
 
-    ``capacity`` is that of this node, in cores like those of the members.
+    ``capacity`` is the capacity of this node in cores, as it is for members.
     """
 
     def __init__(
@@ -57,14 +56,14 @@
         self._leaving = False
 
     def leave(self) -> None:
-        """Own no queue any more, unless nobody else can."""
+        """Stop owning queues, unless there is no other node."""
         self._leaving = True
 
     def candidates(self, service: str) -> list[Member | None]:
         """Return the owners to try, in order; None stands for this node.
 
-        The first is the owner for everybody, the next the one for this data
-        centre; this node itself ends the list.
+        The first is the owner among all nodes, the second the owner among the nodes of
+        this data centre. This node itself ends the list.
         """
         trusted = [m for m in self._members() if self._is_trusted(m)]
         near = [m for m in trusted if m.data_centre == self._data_centre]
@@ -78,9 +77,9 @@
         return [*candidates, None]
 
     def on_failure(self, owner: Member) -> None:
-        """Pass a node over for a while, because it did not answer.
+        """Back off from a node that did not answer.
 
-        Calls that fail together, as those to a node that stands still, are one failure.
+        Calls that fail together, such as those to a frozen node, count as one failure.
         """
         self._reach.record_timeout(owner.data_centre, owner.id)
         if self.is_backed_off(owner):
@@ -90,17 +89,17 @@
         self._backed_off_until[owner.id] = self._clock() + backoff_s
 
     def is_backed_off(self, owner: Member) -> bool:
-        """Return whether a node is passed over because it did not answer."""
+        """Return whether a node is skipped because it did not answer."""
         return self._clock() < self._backed_off_until.get(owner.id, float("-inf"))
 
     def on_answer(self, owner: Member) -> None:
-        """Trust a node again, because it answered."""
+        """End the backoff of a node that answered."""
         self._failures.pop(owner.id, None)
         self._backed_off_until.pop(owner.id, None)
         self._reach.record_answer(owner.data_centre)
 
     def _first(self, members: list[Member], service: str) -> Member | None:
-        """Return the owner among ``members`` and this node; None for this node."""
+        """Return the owner among ``members`` and this node; None is this node."""
         names: list[Member | None] = list(members)
         if not self._leaving or not members:
             names.append(None)
--- a/packages/node/src/eelgrass_node/process/result_release.py
+++ b/packages/node/src/eelgrass_node/process/result_release.py
@@ -1,9 +1,9 @@
-"""Frees results of stages through the queue that counts their memory.
+"""Frees results of stages through the queue that accounts for their memory.
 
-The pattern it answers: a node that owns a queue stands still for part of a second.
-Others pass it over and free results without it. A queue that does not hear of that
-takes its servers for full until the results would have expired, seconds later,
-and the pieces that wait there are late beside idle servers.
+If a queue owner stalls for part of a second, other nodes skip it and free results
+without it. An owner that is not told of that counts its servers as full until the
+results would have expired, seconds later, so that the items in its queue become late
+while servers are idle.
 """
 
 import asyncio
@@ -21,12 +21,12 @@
 
 __all__ = ["ResultReleaser", "ResultsClient"]
 
-# The owner of the queue is given this long; then the results are freed without it.
+# How long to wait for the queue owner before the results are freed without it.
 OWNER_ANSWERS_S = 0.15
 
 
 class ResultsClient(Protocol):
-    """How results are freed by another node."""
+    """Asks other nodes to free results."""
 
     async def free(
         self,
@@ -39,10 +39,10 @@
 
 
 class ResultReleaser:
-    """Frees the results that this node's requests need no more.
+    """Frees the results that this node's requests no longer need.
 
-    ``known`` returns a node of which was heard. ``note_silent`` is told of owners that
-    do not answer at once, and ``count`` counts those that did not hear of it.
+    ``find_member`` returns the record of a member, ``on_silent`` is called for owners
+    that do not answer at once, and ``count`` counts owners that could not be told.
     """
 
     def __init__(
@@ -65,9 +65,9 @@
     def free(
         self, service: ServiceName, handles: list[str], owner: NodeId | None
     ) -> None:
-        """Free results; ``owner`` is the other node whose queue counts them."""
+        """Free results; ``owner`` is the other node whose queue accounts for them."""
         member = None if owner is None else self._known(owner)
-        # One that leaves still counts results while it serves what waits there.
+        # An owner that leaves still accounts for results until its queue is empty.
         if member is None or member.state is MemberState.DEAD:
             self._local.free(service, handles)
         else:
@@ -76,9 +76,10 @@
     async def _free_through(
         self, owner: Member, service: ServiceName, handles: list[str]
     ) -> None:
-        """Have the owner of a queue free results.
+        """Have a queue owner free results.
 
-        One that stands still is still to hear of it, for as long as it counts them.
+        If it does not answer in time, the results are freed here. The call goes on for
+        the lifetime of the results, because a stalled owner still has to learn of it.
         """
         within_s = max(OWNER_ANSWERS_S, self._local.result_life_s(service))
         telling = asyncio.ensure_future(
@@ -95,7 +96,8 @@
             self._count("handoff.failed")
             log(
                 Part.PIECES,
-                "The owner of a queue did not hear of results that were freed.",
+                "Queue owner was not told of freed results; it counts their memory as "
+                "used until they expire.",
                 owner=owner.id,
                 service=service,
                 results=len(handles),
--- a/packages/node/src/eelgrass_node/process/shared_queues.py
+++ b/packages/node/src/eelgrass_node/process/shared_queues.py
@@ -1,8 +1,8 @@
-"""Runs pieces where their service's queue is: at another node, or here.
+"""Runs batch items through the queue of their service, at another node or here.
 
-The pattern it answers: eight or nine nodes that each see one to three pieces a
-second of a service fill no call, and their calls find the servers full. One
-queue per service for all of them does both.
+With eight or nine nodes that each see one to three items of a service per second, a
+queue per node never fills a call, and its calls find the servers full. One queue per
+service, shared by all nodes, avoids both.
 """
 
 from collections.abc import Callable
@@ -27,20 +27,20 @@
 
 
 class Handoff(ResultsClient, Protocol):
-    """How pieces get to another node."""
+    """Hands items to another node."""
 
     async def run(
         self, address: str, service: ServiceName, items: list[BatchItem]
     ) -> list[ItemOutcome]:
-        """Have pieces run there; raises :class:`PeerUnreachable`."""
+        """Have items run there; raises :class:`PeerUnreachable`."""
 
 
 class SharedQueues:
-    """Runs pieces through the owners of their queues.
+    """Runs items through the owners of their queues.
 
-    ``hear_load`` is told the load of queues of this node, ``known`` returns a node of
-    which was heard, ``probe`` sends it a probe, and ``count`` counts hand-offs that
-    failed. ``freed`` frees the results.
+    ``on_load`` receives the load of this node's queues, ``find_member`` returns the
+    record of a member, ``probe`` sends a member a probe, and ``count`` counts hand-offs
+    that failed. ``results`` frees results that are no longer needed.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
     async def run(
         self, service: ServiceName, items: list[BatchItem]
     ) -> list[ItemOutcome]:
-        """Run pieces of one stage and return their outcomes, in order."""
+        """Run items of one stage and return their outcomes, in order."""
         for owner in self._owners.candidates(service):
             if owner is None:
                 break
@@ -90,7 +90,7 @@
         self._count("handoff.failed")
         log(
             Part.PIECES,
-            "The owner of a queue does not answer.",
+            "Queue owner does not answer; trying the next candidate.",
             owner=owner.id,
             service=service,
             error=str(error),
@@ -102,7 +102,7 @@
 
 
 def _held_by(owner: Member, outcome: ItemOutcome) -> ItemOutcome:
-    """Return an outcome that names the queue that counts its result."""
+    """Return the outcome with the owner whose queue accounts for its result."""
     if outcome.handle is None:
         return outcome
     return msgspec.structs.replace(outcome, owner=owner.id)
--- a/packages/node/src/eelgrass_node/process/waiting_sets.py
+++ b/packages/node/src/eelgrass_node/process/waiting_sets.py
@@ -1,11 +1,11 @@
-"""The pieces that wait in a queue, by the set to which they belong.
+"""The items that wait in a queue, grouped into item sets.
 
-The pattern it answers: in a burst some hundred pieces wait, and a call is started
-or ends a hundred times a second. Pieces of one stage of one request share their
-deadline, rank and inputs, so what is decided for one holds for its whole set, and
-the work of a decision grows with the sets (60) and not with the pieces (960).
+An item set holds the items of one stage of one request. They share their deadline,
+priority and inputs, so a decision about one item holds for its set. In a burst some
+hundred items wait, and a hundred calls start or end per second: deciding per set means
+60 decisions instead of 960.
 
-No network and no clock here.
+This module does no I/O and reads no clock.
 """
 
 import asyncio
@@ -20,12 +20,12 @@
 
 
 class WaitingSets:
-    """Waiting pieces and the futures of their outcomes, in sets.
+    """Waiting items and the futures of their outcomes, in sets.
 
     Example::
 
-        sets.add(piece, future)
-        for pieces in sets:
+        sets.add(item, future)
+        for items in sets:
             ...
         futures = sets.take(batch)
     """
@@ -35,22 +35,22 @@
         self._count = 0
 
     def __len__(self) -> int:
-        """Return how many pieces wait."""
+        """Return the number of waiting items."""
         return self._count
 
     def __iter__(self) -> Iterator[Sequence[BatchItem]]:
-        """Go over the sets, each as its waiting pieces; they may change meanwhile."""
+        """Iterate over the waiting items of each set; sets may change meanwhile."""
         for waiting in list(self._sets.values()):
             if waiting:
                 yield tuple(waiting)
 
     def add(self, item: BatchItem, future: Outcome) -> None:
-        """Let a piece wait, for the first time or again."""
+        """Add an item that waits, for the first time or for a retry."""
         self._sets.setdefault(_key(item), {})[item] = future
         self._count += 1
 
     def take(self, batch: Sequence[BatchItem]) -> dict[BatchItem, Outcome]:
-        """Take pieces out for a call; the rest of their sets has begun."""
+        """Remove the items of a call; mark the rest of their sets as started."""
         future_by_item = {}
         for item in batch:
             future_by_item[item] = self._sets[_key(item)][item]
@@ -61,7 +61,7 @@
         return future_by_item
 
     def withdraw(self, items: Iterable[BatchItem]) -> None:
-        """Take pieces out that wait no longer; others are passed over."""
+        """Remove items that no longer wait; items that are not waiting are ignored."""
         for item in items:
             key = _key(item)
             waiting = self._sets.get(key)
@@ -72,7 +72,7 @@
                 del self._sets[key]
 
     def futures(self, items: Iterable[BatchItem]) -> list[tuple[BatchItem, Outcome]]:
-        """Return waiting pieces with their futures."""
+        """Return waiting items with their futures."""
         return [(item, self._sets[_key(item)][item]) for item in items]
 
 
