--- a/packages/node/src/eelgrass_node/process/account_shares.py
+++ b/packages/node/src/eelgrass_node/process/account_shares.py
@@ -1,16 +1,17 @@
-"""Which client accounts ask for more than their share of a service that is short.
+"""Max-min fair shares of a service's capacity among client accounts.
 
-The pattern it answers: one account sends many times its usual, and all that share a
-service with it wait behind its requests or are refused with them. Where accounts ask
-for more work than the servers can do, their time is divided max-min fairly, by work
-and not by count: each account gets what it asks for up to a level that is the same for
-all, and what is left goes to those that ask for more. Work beyond that level is served
-after all other. Where nothing is short nobody has a share, and nobody is held back.
+If one account sends many times its normal load, all accounts that share a service with
+it would wait behind its requests or be refused with them. If the accounts together ask
+for more work than the servers can do, the capacity is divided max-min fairly, by work
+and not by the number of requests: each account gets what it asks for up to a level that
+is the same for all, and the rest goes to those that ask for more. Work above that level
+is served after all other work. While capacity is sufficient there are no shares.
 
-Nobody tells quotas, so usual traffic earns no claim: in a burst of all accounts the
-largest one's surplus waits first.
+No quotas are configured, so normal traffic gives an account no precedence: in a burst
+of all accounts, the surplus of the largest one waits first.
 
-No network and no clock here; times are in seconds, work in seconds of a server.
+This module does no I/O and reads no clock. Times are in seconds, work is in seconds of
+server time.
 """
 
 import math
@@ -21,29 +22,30 @@
 
 __all__ = ["AccountShares"]
 
-# What an account has asked for fades with this time constant. A flood is then seen
-# within half a second, while a request can still be on time behind it; the sets of a
-# usual account add up to much the same in each second.
+# Time constant of the exponential decay of an account's demand. A flood is detected
+# within half a second, while a request behind it can still meet its latency target. The
+# demand of an account with normal traffic is about the same in every second.
 FADE_S = 1.0
-# Shares are worked out at most this often: it takes a look at all that waits.
+# Shares are computed at most this often, because it takes a pass over all waiting sets.
 MARK_EVERY_S = 0.1
-# The part of the servers' time that accounts must ask for before there are shares: a
-# queue that is nearly full is not yet short, and the sums vary by about a tenth.
+# Ratio of demand to capacity above which shares apply: a queue that is nearly full is
+# not short of capacity yet, and the sums vary by about a tenth.
 SHORT_FROM = 1.1
-# By how much one call changes the part of a server's time that is work: some ten
-# calls, about a second of a few servers.
+# Weight of one call in the average part of server time that is useful work. It averages
+# over some ten calls, about a second of a few servers.
 YIELD_WEIGHT = 0.1
-# However little is left, what waits for it is expected to end some time.
+# Lower bound of the capacity left for accounts above their share, which keeps their
+# expected wait finite.
 LEAST_LEFT = 0.1
-# An account that has asked for less than this, in seconds of work, is forgotten.
+# Accounts whose decayed demand is below this, in seconds of work, are dropped.
 FORGOTTEN_WORK_S = 1e-4
 
 
 class AccountShares:
-    """The accounts of one service, what each asks for and what it was given of late.
+    """The recent demand of each account of one service, and the work done for it.
 
-    ``crowding`` holds the accounts that ask for more than their share, and ``left`` is
-    the part of the servers' time that the others leave to them.
+    ``over_share_accounts`` are the accounts that ask for more than their share, and
+    ``left_fraction`` is the part of the capacity that the others leave to them.
     """
 
     def __init__(self) -> None:
@@ -57,19 +59,19 @@
     def record_demand(
         self, items: Sequence[BatchItem], work_s: float, now: float
     ) -> None:
-        """Take in a set that an account asks for, and mark it."""
+        """Record an item set that an account asks for, and set its ``over_share``."""
         account = items[0].account
         asked = self._asked_by_account.setdefault(account or "", _Fading())
         asked.add(work_s, now)
         _mark(items, account in self.over_share_accounts)
 
     def record_work(self, account: str | None, work_s: float, now: float) -> None:
-        """Take in work that servers begin for an account."""
+        """Record work that servers start for an account."""
         given = self._given_by_account.setdefault(account or "", _Fading())
         given.add(work_s, now)
 
     def record_call(self, work_s: float, took_s: float) -> None:
-        """Take in how much work a call did in its time; part-full calls do less."""
+        """Record the work and duration of a call; part-full calls do less."""
         share = min(1.0, work_s / took_s) if took_s > 0.0 else 1.0
         self._yield += YIELD_WEIGHT * (share - self._yield)
 
@@ -80,10 +82,10 @@
         servers: int,
         now: float,
     ) -> None:
-        """Mark the waiting sets that are beyond the shares of their accounts.
+        """Update which waiting sets are above the shares of their accounts.
 
-        ``work_s`` tells the work of so many pieces. Of one account the sets that are
-        due first are within its share. Nothing is done just after the last time.
+        ``work_s`` returns the work of so many items. An account's share goes to those
+        of its sets that are due first. Calls shortly after the last update do nothing.
         """
         if now - self._marked_at < MARK_EVERY_S:
             return
@@ -115,11 +117,11 @@
         servers: int,
         now: float,
     ) -> float:
-        """Return the work that each account may have in the time constant."""
+        """Return the work that each account may have per time constant."""
         waiting: Counter[str] = Counter()
         for items in sets:
             waiting[items[0].account or ""] += work_s(len(items))
-        # What waits was asked for, however long ago.
+        # Waiting work counts in full, although the demand behind it has decayed.
         asked = [
             max(work.value(now), waiting[account])
             for account, work in self._asked_by_account.items()
@@ -142,7 +144,7 @@
 
 
 class _Fading:
-    """A sum whose terms fade with time."""
+    """A sum whose terms decay exponentially with time."""
 
     def __init__(self) -> None:
         self._sum = 0.0
@@ -157,9 +159,9 @@
 
 
 def fair_level(asked: Sequence[float], capacity: float) -> float:
-    """Return the level up to which each may have what it asks for.
+    """Return the max-min fair level: the most that each account may have.
 
-    It is infinite where there is enough for all, or only one asks.
+    It is infinite if the capacity is sufficient for all, or if only one asks.
     """
     if len(asked) < 2 or sum(asked) <= capacity * SHORT_FROM:
         return math.inf
--- a/packages/node/src/eelgrass_node/process/cost_store.py
+++ b/packages/node/src/eelgrass_node/process/cost_store.py
@@ -1,8 +1,8 @@
-"""Keeps the costs of this process in the platform's object store.
+"""Stores the costs of this process in the platform's object store.
 
-One object per process holds its sums so far and is replaced as a whole, so a
-repeated or lost write does no harm. A row of the table service names the
-object, which is how the costs of all processes are found.
+One object per process holds its sums so far. Each write replaces it completely, so a
+repeated or lost write is harmless. A row of the table service names each object, so
+that the costs of all processes can be found.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 
 class CostStore:
-    """Writes this process's costs at an interval, and reads those of all."""
+    """Writes this process's costs periodically, and reads those of all processes."""
 
     def __init__(
         self,
@@ -49,13 +49,13 @@
         self._stored = b""
 
     async def run(self) -> None:
-        """Store at the interval until cancelled."""
+        """Store the costs periodically until cancelled."""
         while True:
             await asyncio.sleep(self._interval_s)
             await self.store()
 
     async def store(self) -> bool:
-        """Store the sums if they changed; returns whether they are stored."""
+        """Store the sums if they changed; return whether they are stored."""
         body = msgspec.json.encode(self._ledger.rows())
         if body in (self._stored, b"[]"):
             return True
@@ -64,7 +64,7 @@
             if not self._named:
                 await self._name_object()
         except PlatformError as error:
-            log(Part.COSTS, "The costs could not be stored.", error=str(error))
+            log(Part.COSTS, "Could not store this process's costs.", error=str(error))
             return False
         self._stored = body
         return True
@@ -83,6 +83,6 @@
     async def _name_object(self) -> None:
         key = RowKey(COST_OBJECTS, self._name)
         write = Write(key.table, key.key, {"object": self._name})
-        # Without a condition: a repeat writes the same.
+        # Unconditional: a repeated write has the same effect.
         await self._table.commit(Transaction((), (write,)))
         self._named = True
--- a/packages/node/src/eelgrass_node/process/costs.py
+++ b/packages/node/src/eelgrass_node/process/costs.py
@@ -1,4 +1,4 @@
-"""Cost by stage, added up per client account and pipeline."""
+"""Sums the cost of stages per client account and pipeline."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 class CostKey(msgspec.Struct, frozen=True):
-    """Whose cost it is."""
+    """The client account, pipeline and stage that a cost is attributed to."""
 
     account: AccountName
     pipeline: str
@@ -18,9 +18,9 @@
 
 
 class CostRow(msgspec.Struct):
-    """Sums for one key: milliseconds of back-end time, tokens and counts.
+    """Sums for one key: milliseconds of backend time, tokens and counts.
 
-    ``unreported`` counts attempts whose cost no back end could tell.
+    ``unreported`` counts attempts whose cost no backend server reported.
     """
 
     account: AccountName
@@ -34,11 +34,11 @@
     unreported: int = 0
 
     def key(self) -> CostKey:
-        """Return whose costs these are."""
+        """Return the key that these costs are attributed to."""
         return CostKey(self.account, self.pipeline, self.stage)
 
     def order(self) -> tuple[str, str, str]:
-        """Return the sort key of reports."""
+        """Return the key by which reports are sorted."""
         return (self.account, self.pipeline, self.stage)
 
 
@@ -67,7 +67,7 @@
         self._add(request, cost, requests=1)
 
     def correct(self, request: CallerRequest, cost: StageCost) -> None:
-        """Add what has become known of a stage whose cost was noted before."""
+        """Add a late correction to a stage whose cost was recorded before."""
         self._add(request, cost, requests=0)
 
     def _add(self, request: CallerRequest, cost: StageCost, requests: int) -> None:
--- a/packages/node/src/eelgrass_node/process/counters.py
+++ b/packages/node/src/eelgrass_node/process/counters.py
@@ -9,15 +9,15 @@
 
 __all__ = ["Counters"]
 
-# One packet a second, whatever is counted.
+# One packet a second, however much is counted.
 FLUSH_S = 1.0
 
 
 class Counters:
     """Counts by name, such as ``refusal.deadline-infeasible``.
 
-    ``totals`` holds the counts since the process began. They are sent as sums,
-    so a busy node sends no packet per request.
+    ``totals`` holds the counts since the process started. Counts are added up before
+    they are sent, so that a busy node does not send a packet per request.
     """
 
     def __init__(self, client: "statsd.StatsClient | None" = None) -> None:
@@ -31,7 +31,7 @@
         self._unsent[name] += by
 
     def flush(self) -> None:
-        """Send what was counted since the last time."""
+        """Send the counts since the last flush."""
         unsent, self._unsent = self._unsent, Counter()
         if self._client is None or not unsent:
             return
--- a/packages/node/src/eelgrass_node/process/metrics.py
+++ b/packages/node/src/eelgrass_node/process/metrics.py
@@ -1,10 +1,10 @@
-"""Counters, gauges and latency histograms, served as text to scrapers.
+"""Counters, gauges and latency histograms in the Prometheus text format.
 
-Label sets are bounded: services and routes come from the configuration, reasons
-from enums.
+Label sets are bounded: services and routes come from the configuration, reasons from
+enums.
 
-The library that writes the text is loaded by the first scrape: with it a process
-takes a twentieth longer to start, and callers wait for a start.
+The Prometheus library is imported by the first scrape, because importing it makes a
+process start a twentieth slower, and callers wait for the start.
 """
 
 from bisect import bisect_left
@@ -21,13 +21,13 @@
 
 __all__ = ["Gauge", "Metrics"]
 
-# From a plain call of 20 ms to the longest deadlines of 15 s.
+# From a simple call of 20 ms to the longest deadline of 15 s.
 BUCKETS_S = (0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.6, 2.4, 3.2, 5.0, 8.0, 15.0)
 PREFIX = "eelgrassward_"
 
 
 class Gauge(msgspec.Struct, frozen=True):
-    """One value now, with at most one label."""
+    """One current value, with at most one label."""
 
     name: str
     help: str
@@ -37,7 +37,7 @@
 
 
 class _Histogram:
-    """How many values of each label fell into which bucket, and their sum."""
+    """The number of values per bucket and their sum, for each value of a label."""
 
     def __init__(self, name: str, help_text: str, label: str) -> None:
         self.name = name
@@ -47,7 +47,7 @@
         self.sum_by_value: dict[str, float] = {}
 
     def observe(self, label_value: str, amount: float) -> None:
-        """Count one value."""
+        """Add one value."""
         counts = self.counts_by_value.get(label_value)
         if counts is None:
             counts = self.counts_by_value[label_value] = [0] * (len(BUCKETS_S) + 1)
@@ -58,7 +58,7 @@
 
 
 class Metrics:
-    """The metrics of one process; ``gauges`` gives what holds now."""
+    """The metrics of one process; ``gauges`` returns the current gauges."""
 
     def __init__(
         self, counters: Counters, gauges: Callable[[], Iterable[Gauge]]
@@ -72,16 +72,16 @@
             "stages_seconds", "Time until the stages of a request are done.", "route"
         )
         self._queue_s = _Histogram(
-            "piece_wait_seconds", "Wait of a piece for a server.", "service"
+            "piece_wait_seconds", "Time a batch item waits for a server.", "service"
         )
 
     def collect(self) -> "Iterator[Metric]":
-        """Return what the registry asks for at each scrape."""
+        """Return the metric families; the registry calls this at each scrape."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         events = CounterMetricFamily(
             PREFIX + "events",
-            "Refusals, retries and others by reason.",
+            "Refusals, retries and other events by reason.",
             labels=["kind"],
         )
         for kind, total in self._counters.totals.items():
@@ -100,19 +100,19 @@
             yield _family(histogram)
 
     def record_request(self, outcome: str, took_s: float) -> None:
-        """Take in how a request ended, and after how many seconds."""
+        """Record how a request ended, and after how many seconds."""
         self._request_s.observe(outcome, took_s)
 
     def record_stages(self, route: str, took_s: float) -> None:
-        """Take in after how many seconds the stages of a request were done."""
+        """Record after how many seconds the stages of a request were done."""
         self._staged_s.observe(route, took_s)
 
     def record_wait(self, service: str, waited_s: float) -> None:
-        """Take in how many seconds a piece waited for a server."""
+        """Record how many seconds a batch item waited for a server."""
         self._queue_s.observe(service, waited_s)
 
     def text(self) -> bytes:
-        """Return all metrics in the usual text format."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
