--- a/packages/node/src/eelgrass_node/connection/batch_calls.py
+++ b/packages/node/src/eelgrass_node/connection/batch_calls.py
@@ -1,4 +1,4 @@
-"""Calls to backend servers that run pieces of stages, and that free results."""
+"""Calls to backend servers that run batch items or free results."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,26 +23,29 @@
 
 
 class BatchCodec(Protocol):
-    """What the adapter does for calls of pieces."""
+    """The part of the platform adapter that encodes and decodes batch calls."""
 
     RUN_PATH: str
     FREE_PATH: str
 
     def encode_items(self, items: list[BatchItem], now: float) -> bytes:
-        """Return the body of a call that runs pieces."""
+        """Return the body of a call that runs items."""
 
     def decode_outcomes(self, body: bytes, count: int) -> list[ItemOutcome]:
-        """Decode the answer; raises :class:`PieceAnswerMalformed`."""
+        """Decode the answer; raises :class:`BatchAnswerMalformed`."""
 
     def encode_free(self, handles: list[str]) -> bytes:
         """Return the body of a call that frees results."""
 
     def call_headers(self, server_id: str) -> CIMultiDict[str]:
-        """Return the headers of a call that only this server may take."""
+        """Return the headers of a call that only this server may accept."""
 
 
 class BatchCalls:
-    """Makes the calls; ``on_replaced`` is told where another server answers."""
+    """Calls backend servers.
+
+    ``on_replaced`` is called if another server answers at a server's address.
+    """
 
     def __init__(
         self, codec: BatchCodec, on_replaced: Callable[[Backend], None]
@@ -53,7 +56,7 @@
     async def run(
         self, backend: Backend, items: list[BatchItem], within_s: float
     ) -> list[ItemOutcome]:
-        """Run pieces; a call that fails gives each of them a trouble."""
+        """Run items in one call; if it fails, every outcome has a failure."""
         now = asyncio.get_running_loop().time()
         body = self._codec.encode_items(items, now)
         try:
@@ -62,7 +65,7 @@
             if status == HTTP_OK:
                 return self._codec.decode_outcomes(answer, len(items))
         except TimeoutError:
-            # Other connections there may be as dead as this one.
+            # Other connections to this server may be dead as well.
             backend.connections.replace()
             return _all(items, ItemFailure.TIMED_OUT)
         except (aiohttp.ClientConnectorError, ValueError, BatchAnswerMalformed):
@@ -77,9 +80,9 @@
         return _all(items, ItemFailure.FAILED)
 
     async def free(self, backend: Backend, handles: list[str]) -> bool:
-        """Free results; returns whether the server took it.
+        """Free results; return whether the server did so.
 
-        A failure does no harm: results expire by themselves.
+        A failure is harmless, because results expire by themselves.
         """
         body = self._codec.encode_free(handles)
         try:
--- a/packages/node/src/eelgrass_node/connection/batch_handoff.py
+++ b/packages/node/src/eelgrass_node/connection/batch_handoff.py
@@ -1,8 +1,8 @@
-"""Hands pieces to the node that holds the queue of their service.
+"""Hands batch items to the node that holds the queue of their service.
 
-The owner says at once that it has taken them, then at short intervals that it
-lives, and at the end what became of them. A node that hears nothing for a short
-while takes the owner for dead, frozen or cut off, and goes on without it.
+The queue owner accepts the items at once, then sends heartbeats at short intervals, and
+finally the outcomes. A node that receives nothing for a short time treats the owner as
+dead, frozen or partitioned off, and continues without it.
 """
 
 import asyncio
@@ -27,10 +27,10 @@
 ITEMS_PATH = "/peer/v1/pieces"
 FREE_PATH = "/peer/v1/results/free"
 CONNECT_S = 0.15
-# Two ways between data centres take 3 ms, and a busy node some 10 ms more.
+# A round trip between data centres takes 3 ms, and a busy node adds about 10 ms.
 ACCEPT_S = 0.15
-# While pieces wait or run, the owner says that it lives this often; a node that
-# misses two of these does not wait any longer.
+# How often the owner sends a heartbeat while items wait or run. A node that misses two
+# of them stops waiting.
 BEAT_S = 0.3
 SILENCE_S = 0.75
 KEEP_ALIVE_S = 60.0
@@ -41,10 +41,10 @@
 
 
 class _SentSet(msgspec.Struct, omit_defaults=True):
-    """The pieces of one stage of a request; times are what is left, in seconds.
+    """The items of one stage of a request; times are remaining seconds.
 
-    They differ in their numbers alone. Their common inputs are most of what is
-    sent, and links are of 5 Mbit/s on the grown sheets.
+    The items differ only in their numbers, so the rest is sent once: their common
+    inputs are most of the message, and the slowest links have 5 Mbit/s.
     """
 
     request_id: str
@@ -79,9 +79,9 @@
 
 
 class HandoffClient:
-    """Hands pieces to other nodes, at their internal addresses.
+    """Hands items to other nodes, at their internal addresses.
 
-    ``hear_load`` is told the load of a queue with each answer of its owner.
+    ``on_load`` receives the load of a queue with each answer of its owner.
     """
 
     def __init__(self, on_load: Callable[[ServiceName, QueueLoad], None]) -> None:
@@ -91,7 +91,7 @@
     async def run(
         self, address: str, service: ServiceName, items: list[BatchItem]
     ) -> list[ItemOutcome]:
-        """Have pieces of one stage of a request run by another node.
+        """Have items of one stage of a request run by another node.
 
         Raises :class:`PeerUnreachable`.
         """
@@ -110,7 +110,9 @@
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError) as e:
             raise _unreachable(address, e) from e
         if len(done.outcomes) != len(items):
-            raise PeerUnreachable(address, "outcomes do not fit the pieces")
+            raise PeerUnreachable(
+                address, "the number of outcomes differs from the number of items"
+            )
         self._on_load(service, done.load)
         return done.outcomes
 
@@ -140,10 +142,10 @@
 
 
 class HandoffInterface:
-    """Takes pieces from other nodes, for the queues of this one.
+    """Accepts items from other nodes, for the queues of this node.
 
-    ``knows`` tells whether this node has servers of a service; one that has
-    none is no owner of its queue.
+    ``has_servers`` returns whether this node knows servers of a service. A node that
+    knows none refuses the items, as it cannot own the queue.
     """
 
     def __init__(
@@ -160,7 +162,7 @@
         self._decoder = msgspec.json.Decoder(_Handoff)
 
     async def handle_items(self, request: web.Request) -> web.StreamResponse:
-        """Answer ``POST /peer/v1/pieces``: beats, then the outcomes."""
+        """Answer ``POST /peer/v1/pieces`` with heartbeats, then the outcomes."""
         handoff = self._decoder.decode(await request.read())
         now = asyncio.get_running_loop().time()
         items = _received(handoff.pieces, now)
@@ -184,7 +186,7 @@
     def _give_up(
         self, service: ServiceName, running: asyncio.Future[list[ItemOutcome]]
     ) -> None:
-        """End a run whose node has gone, or free the results that it did not get."""
+        """Cancel the run of a caller that is gone, or free the undelivered results."""
         if not running.done():
             running.cancel()
         elif not running.cancelled() and running.exception() is None:
@@ -198,7 +200,7 @@
         return web.Response()
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the routes for other nodes."""
+        """Add the routes that other nodes call."""
         app.router.add_post(ITEMS_PATH, self.handle_items)
         app.router.add_post(FREE_PATH, self.handle_free)
 
