--- a/packages/node/tests/test_account_shares.py
+++ b/packages/node/tests/test_account_shares.py
@@ -1,4 +1,4 @@
-"""A client account that floods a service costs the others next to nothing."""
+"""A client account that floods a service hardly affects the other accounts."""
 
 import asyncio
 import math
@@ -18,7 +18,7 @@
 from support.batching import Service, items, now, server
 from support.simulated_time import run_in_simulated_time
 
-# The first stage of the users' largest kind of request.
+# The first stage of the largest kind of request.
 LIMITS = BatchLimits(
     slots=1,
     queue=2,
@@ -30,17 +30,17 @@
 )
 DUE_S = 1.3
 SERVERS = 6
-# What so many servers can do in a second, in full calls and sets of two.
+# The capacity of all servers in sets of two per second, if calls are full.
 SETS_PER_S = SERVERS * 4 / (LIMITS.call_s + 8 * LIMITS.item_s)
 QUIET = [f"quiet-{number}" for number in range(6)]
-# A fifth of the servers' time between them.
+# Together they use a fifth of the capacity.
 USUAL = {account: SETS_PER_S * 0.2 / len(QUIET) for account in QUIET}
 FLOOD = {"flood": SETS_PER_S * 3}
 LENGTH_S = 8.0
 
 
-class Day:
-    """Accounts that send sets of pieces to one queue, and how each is served."""
+class Load:
+    """Accounts that send item sets to one queue, and how each account is served."""
 
     def __init__(self, urgent=()):
         self._urgent = urgent
@@ -52,13 +52,13 @@
         self.waits = {}
 
     async def run(self, sets_per_s_by_account):
-        """Let all accounts send for a while, each at even distances."""
+        """Let all accounts send for ``LENGTH_S``, each at a constant rate."""
         async with asyncio.TaskGroup() as group:
             for account, rate in sets_per_s_by_account.items():
                 group.create_task(self._send(account, rate))
 
     def share(self, accounts):
-        """Return the share of some accounts' sets that were served on time."""
+        """Return the fraction of some accounts' sets that were served on time."""
         asked = sum(self.asked.get(account, 0) for account in accounts)
         return sum(self.on_time.get(account, 0) for account in accounts) / asked
 
@@ -88,48 +88,48 @@
 
 
 def played(sets_per_s_by_account, **options):
-    """Play a day in simulated time."""
+    """Run a load in simulated time."""
 
     async def main():
-        day = Day(**options)
-        await day.run(sets_per_s_by_account)
-        return day
+        load = Load(**options)
+        await load.run(sets_per_s_by_account)
+        return load
 
     return run_in_simulated_time(main())
 
 
 class TestFlood:
-    """One of seven accounts sends three times what all servers can do.
+    """One of seven accounts sends three times the capacity of all servers.
 
-    The others take a fifth of the servers' time between them, as the many small
-    practices of the users do, so there is room for all that they send.
+    The others are small accounts, which use a fifth of the capacity together, so that
+    everything they send can be served.
     """
 
-    def test_the_others_are_served_as_though_it_were_not_there(self):
+    def test_the_other_accounts_are_served_as_without_the_flood(self):
         alone = played(USUAL).share(QUIET)
         beside = played(USUAL | FLOOD).share(QUIET)
         assert alone == 1.0
         assert beside >= alone - 0.02
 
-    def test_it_gets_what_the_others_leave(self):
-        day = played(USUAL | FLOOD)
-        # The others take a fifth; sets at the end of the day find no full calls.
-        assert day.served["flood"] / LENGTH_S >= 0.9 * 0.8 * SETS_PER_S
+    def test_the_flood_gets_the_capacity_that_is_left(self):
+        load = played(USUAL | FLOOD)
+        # The others use a fifth, and calls at the end of the run are not full.
+        assert load.served["flood"] / LENGTH_S >= 0.9 * 0.8 * SETS_PER_S
 
-    def test_an_urgent_flood_does_not_push_out_what_is_less_urgent(self):
+    def test_an_urgent_flood_does_not_displace_less_urgent_accounts(self):
         assert played(USUAL | FLOOD, urgent=["flood"]).share(QUIET) >= 0.98
 
     def test_of_two_floods_neither_is_starved(self):
-        """Each gets half of an equal part at least; those on time still go first."""
+        """Each gets at least half of an equal part; items on time still go first."""
         floods = {"flood-a": SETS_PER_S * 3, "flood-b": SETS_PER_S * 1.5}
-        day = played(USUAL | floods)
-        assert day.share(QUIET) >= 0.98
+        load = played(USUAL | floods)
+        assert load.share(QUIET) >= 0.98
         equal = 0.8 * SETS_PER_S * LENGTH_S / 2
-        assert min(day.served[name] for name in floods) >= equal / 2
+        assert min(load.served[name] for name in floods) >= equal / 2
 
 
 class Demand:
-    """Accounts that ask for work in small sets, of which a tenth of a second waits."""
+    """Accounts that ask for work in small sets, each of which waits for 0.1 s."""
 
     STEP_S = 0.05
 
@@ -140,14 +140,14 @@
         self._call_s = call_s
 
     def ask(self, work_by_account, for_s):
-        """Let each account ask for so much of a server's time."""
+        """Let each account ask for a fraction of a server's time, for ``for_s``."""
         until = self.at + for_s
         while self.at < until:
             self.at += self.STEP_S
             self.waiting = [s for s in self.waiting if s[0].queued_at >= self.at - 0.1]
             for account, work in work_by_account.items():
                 self._ask(account, work * self.STEP_S)
-            # Half of a call is its fixed time.
+            # Half of a call's duration is its fixed cost.
             self.shares.record_call(0.5 * self._call_s, self._call_s)
             self.shares.update(self.waiting, lambda count: 0.0, 1, self.at)
 
@@ -170,52 +170,50 @@
         self.shares.record_work(account, work_s, self.at)
 
     def over_share(self):
-        """Return the accounts of which something that waits is beyond their share."""
+        """Return the accounts with waiting items above their share."""
         return {items[0].account for items in self.waiting if items[0].over_share}
 
 
 class TestLoad:
-    async def test_a_queue_whose_servers_are_all_gone_tells_a_load_that_can_be_read(
-        self,
-    ):
-        """JSON has no infinity; an owner whose answer is unreadable is passed over."""
+    async def test_the_load_of_a_queue_without_servers_can_be_decoded(self):
+        """JSON has no infinity, and an owner with an undecodable answer is skipped."""
         queue = Service(server("s1"), limits=LIMITS).queue
         queue._servers._listed = list
-        told = msgspec.json.encode(queue.load())
-        assert msgspec.json.decode(told, type=QueueLoad) == queue.load()
+        encoded = msgspec.json.encode(queue.load())
+        assert msgspec.json.decode(encoded, type=QueueLoad) == queue.load()
 
 
-class TestNothingShort:
-    def test_an_account_that_takes_most_is_not_held_back(self):
-        day = played(USUAL | {"large": SETS_PER_S * 0.55})
-        assert day.share(["large"]) == day.share(QUIET) == 1.0
+class TestSufficientCapacity:
+    def test_an_account_with_most_of_the_load_is_not_limited(self):
+        load = played(USUAL | {"large": SETS_PER_S * 0.55})
+        assert load.share(["large"]) == load.share(QUIET) == 1.0
 
-    def test_a_single_account_has_no_share(self):
+    def test_a_single_account_is_not_limited(self):
         demand = Demand()
         demand.ask({"only": 4.0}, for_s=4.0)
         assert demand.over_share() == set()
 
-    def test_requests_without_an_account_are_never_beyond_a_share(self):
+    def test_requests_without_an_account_are_never_over_share(self):
         demand = Demand()
         demand.ask({"a": 0.1, None: 4.0}, for_s=4.0)
         assert demand.over_share() == set()
 
 
 class TestShares:
-    def test_the_level_leaves_small_ones_what_they_ask_for(self):
+    def test_small_demands_below_the_fair_level_are_met(self):
         assert fair_level([1.0, 2.0, 10.0], 9.0) == 6.0
         assert fair_level([4.0, 4.0, 4.0], 6.0) == 2.0
         assert math.isinf(fair_level([1.0, 2.0], 3.0))
         assert math.isinf(fair_level([1.0, 2.0 * SHORT_FROM], 3.0))
 
     @pytest.mark.parametrize("call_s", [0.1, 1.0, 10.0])
-    def test_it_adapts_to_servers_of_any_speed(self, call_s):
-        """After two time constants, whatever a call takes."""
+    def test_shares_adapt_to_servers_of_any_speed(self, call_s):
+        """After two time constants, however long a call takes."""
         demand = Demand(call_s)
         demand.ask({"quiet": 0.05, "flood": 2.0}, for_s=2 * FADE_S)
         assert demand.over_share() == {"flood"}
 
-    async def test_a_service_that_has_failed_for_hours_is_shared_again(self):
+    async def test_shares_recover_after_hours_of_failed_calls(self):
         shares = AccountShares()
         for _ in range(10_000):
             shares.record_call(0.0, 1.0)
@@ -236,7 +234,7 @@
         demand.ask({"quiet": 0.05, "flood": 0.2}, for_s=0.2)
         assert demand.over_share() == set()
 
-    async def test_of_one_account_what_is_due_first_is_within_its_share(self):
+    async def test_an_account_s_share_goes_to_its_sets_that_are_due_first(self):
         shares = AccountShares()
         sets = [items(f"flood/{n}", 1, in_s=n, account="flood") for n in range(4)]
         for waiting in [*sets, items("quiet", 1, account="quiet")]:
--- a/packages/node/tests/test_batch_handoff.py
+++ b/packages/node/tests/test_batch_handoff.py
@@ -1,4 +1,4 @@
-"""Handing pieces to owners that are dead, frozen, slow or wrong."""
+"""Handing items to queue owners that are dead, frozen, slow or faulty."""
 
 import asyncio
 
@@ -32,7 +32,7 @@
 
 
 class Owner:
-    """An owner whose answer is scripted; use it as a context."""
+    """A queue owner with a scripted answer, as a context manager."""
 
     def __init__(self, handle=None, run=None, has_servers=True):
         self.heard = []
@@ -72,12 +72,12 @@
 
 
 class TestHandoff:
-    async def test_outcomes_and_the_load_come_back(self):
+    async def test_outcomes_and_load_are_returned(self):
         async with Owner(run=made) as owner:
             assert await owner.hand_over() == [ItemOutcome(handle="a:1/0")]
             assert owner.heard == [(SERVICE, QueueLoad(((0, 0.5),), 0.25))]
 
-    async def test_a_long_wait_at_a_living_owner_is_no_silence(self):
+    async def test_an_owner_that_sends_heartbeats_does_not_time_out(self):
         async def slowly(service, items):
             await asyncio.sleep(SILENCE_S * 1.5)
             return await made(service, items)
@@ -85,7 +85,7 @@
         async with Owner(run=slowly) as owner:
             assert await owner.hand_over() == [ItemOutcome(handle="a:1/0")]
 
-    async def test_a_caller_that_gives_up_withdraws_its_pieces(self):
+    async def test_a_caller_that_is_cancelled_withdraws_its_items(self):
         withdrawn = asyncio.Event()
 
         async def wait(service, items):
@@ -102,8 +102,9 @@
             async with asyncio.timeout(1):
                 await withdrawn.wait()
 
-    # Results of a node that was gone by their end held memory until they expired.
-    async def test_results_that_could_not_be_given_are_freed(self, monkeypatch):
+    # Guards against results of a caller that is gone, which would take up memory until
+    # they expire.
+    async def test_results_that_cannot_be_delivered_are_freed(self, monkeypatch):
         write = web.StreamResponse.write
 
         async def lose_outcomes(response, data):
@@ -125,14 +126,14 @@
             await owner.hand_over()
         assert now() - began < seconds + SLACK_S
 
-    async def test_one_that_never_accepts(self):
+    async def test_an_owner_that_never_accepts(self):
         async def hang(request):
             await asyncio.sleep(5)
 
         async with Owner(handle=hang) as owner:
             await self.fails_within(owner, ACCEPT_S)
 
-    async def test_one_that_freezes_after_it_has_accepted(self):
+    async def test_an_owner_that_freezes_after_it_has_accepted(self):
         async def freeze(request):
             response = web.StreamResponse()
             await response.prepare(request)
@@ -143,7 +144,7 @@
         async with Owner(handle=freeze) as owner:
             await self.fails_within(owner, ACCEPT_S + SILENCE_S)
 
-    async def test_one_that_is_killed_while_pieces_run(self):
+    async def test_an_owner_that_is_killed_while_items_run(self):
         async def die(request):
             response = web.StreamResponse()
             await response.prepare(request)
@@ -154,14 +155,14 @@
         async with Owner(handle=die) as owner:
             await self.fails_within(owner, ACCEPT_S)
 
-    async def test_one_that_knows_no_server_of_the_service(self):
+    async def test_an_owner_that_knows_no_server_of_the_service(self):
         async with Owner(run=made, has_servers=False) as owner:
             await self.fails_within(owner, ACCEPT_S)
 
     @pytest.mark.parametrize(
         "answer", [b"nonsense\n", b'{"outcomes": [], "load": []}\n', b""]
     )
-    async def test_one_whose_answer_does_not_fit(self, answer):
+    async def test_an_owner_with_a_malformed_answer(self, answer):
         async def garble(request):
             msgspec.json.decode(await request.read())
             return web.Response(body=b"\n" + answer)
@@ -169,7 +170,7 @@
         async with Owner(handle=garble) as owner:
             await self.fails_within(owner, ACCEPT_S)
 
-    async def test_one_that_is_gone(self):
+    async def test_an_owner_that_is_gone(self):
         async with Owner(run=made) as owner:
             [owner.address] = free_addresses(1)
             await self.fails_within(owner, ACCEPT_S)
--- a/packages/node/tests/test_batch_queue.py
+++ b/packages/node/tests/test_batch_queue.py
@@ -1,4 +1,4 @@
-"""The queue before a service that runs stages, under the loads of the sheets."""
+"""The batch queue of a service that runs stages, under realistic loads."""
 
 import asyncio
 import time
@@ -20,15 +20,15 @@
 
 class TestBatching:
     async def test_calls_fill_while_servers_are_busy(self):
-        """24 pieces in calls of one would take 24 calls; here they take 7."""
+        """Unbatched, 24 items would take 24 calls; here they take 7."""
         service = Service(server("s1"))
         runs = [service.queue.run(items(f"r{n}")) for n in range(24)]
         results = await asyncio.gather(*runs)
         assert all(outcome.handle for [outcome] in results)
         assert len(service.calls) <= 8
 
-    # In simulated time: a busy machine adds half a call to one of 15 ms.
-    def test_an_idle_server_takes_a_piece_at_once(self):
+    # In simulated time: on a busy machine a call of 15 ms takes half as long again.
+    def test_an_idle_server_runs_an_item_at_once(self):
         async def took_s():
             service = Service(server("s1"), server("s2"))
             began = now()
@@ -39,7 +39,7 @@
 
         assert run_in_simulated_time(took_s()) < 1.9 * LIMITS.call_s
 
-    async def test_urgent_pieces_go_first(self):
+    async def test_urgent_items_go_first(self):
         service = Service(server("s1"))
         runs = [asyncio.create_task(service.queue.run(items("busy", 4)))]
         await asyncio.sleep(0.001)
@@ -49,7 +49,7 @@
         await asyncio.gather(*runs)
         assert [call[1][0].request_id for call in service.calls][1] == "high"
 
-    async def test_late_pieces_get_what_the_others_leave(self):
+    async def test_late_items_get_the_capacity_that_is_left(self):
         service = Service(server("s1"))
         runs = [asyncio.create_task(service.queue.run(items("busy", 4)))]
         await asyncio.sleep(0.001)
@@ -59,7 +59,7 @@
         await asyncio.gather(*runs)
         assert [call[1][0].request_id for call in service.calls][1] == "timely"
 
-    async def test_of_sets_due_together_the_small_one_goes_first(self):
+    async def test_of_sets_due_at_the_same_time_the_small_one_goes_first(self):
         service = Service(server("s1"))
         runs = [asyncio.create_task(service.queue.run(items("busy", 4)))]
         await asyncio.sleep(0.001)
@@ -71,9 +71,9 @@
 
 
 class TestResultMemory:
-    async def test_sets_that_have_begun_are_completed_first(self):
-        """A set of six in a burst: its rest must not wait behind fresh sets,
-        since its first four results take up memory until it is complete."""
+    async def test_sets_that_have_started_are_completed_first(self):
+        """The rest of a set of six must not wait behind new sets in a burst, because
+        its first four results take up memory until the set is complete."""
         service = Service(server("s1"))
         big = asyncio.create_task(service.queue.run(items("big", 6, size=LARGE)))
         await asyncio.sleep(0.001)
@@ -84,7 +84,7 @@
         await asyncio.gather(big, *fresh)
         assert [call[1][0].request_id for call in service.calls][1] == "big"
 
-    async def test_no_more_is_begun_than_a_server_can_hold(self):
+    async def test_a_set_waits_until_the_server_has_memory_for_its_results(self):
         service = Service(server("s1"))
         held = []
         for n in range(2):
@@ -97,8 +97,9 @@
         assert len(await third) == 3
 
 
-class TestPace:
-    # A server was taken for slow, and callers refused, after a stall of the queue.
+class TestStalls:
+    # Guards against a stall of the queue's process that is attributed to a server, so
+    # that the server counts as slow and callers are refused.
     async def test_a_stall_of_this_process_does_not_make_a_server_slow(self):
         async def stall(backend, given):
             async with StallAwareTimeout(5.0):
@@ -109,13 +110,14 @@
         service = Service(server("s1"), behave=stall)
         await service.queue.run(items("r", 3))
         use = service.queue.use_by_id(now())["s1"]
-        # Half a second would make it ten times as slow; a tick of it may count.
+        # The complete stall of 0.5 s would make it ten times as slow; a small part of
+        # it may be counted.
         assert use["slowness"] < 3
 
 
 class TestFailures:
-    async def test_a_piece_that_fails_does_not_put_its_server_in_doubt(self):
-        """One failure in five hundred took a third of the servers away."""
+    async def test_a_single_failed_item_does_not_make_its_server_suspect(self):
+        """One failure in five hundred items made a third of the servers suspect."""
 
         async def fail_first(backend, given):
             outcomes = [ItemOutcome(handle=f"{p.number}@a") for p in given]
@@ -128,7 +130,7 @@
         assert all(outcome.handle for outcome in outcomes)
         assert service.servers[0].suspect_until <= now()
 
-    async def test_a_call_that_fails_is_made_elsewhere(self):
+    async def test_a_failed_call_is_retried_at_another_server(self):
         async def fail_s1(backend, given):
             if backend.entry.id == "s1":
                 return all_of(ItemFailure.UNREACHABLE, given)
@@ -140,7 +142,7 @@
         assert all(outcome.handle for [outcome] in results)
         assert [call[0] for call in service.calls].count("s1") == 1
 
-    async def test_nothing_is_repeated_without_budget(self):
+    async def test_nothing_is_retried_without_retry_budget(self):
         async def fail(backend, given):
             return all_of(ItemFailure.FAILED, given)
 
@@ -149,7 +151,7 @@
         assert outcome.failure is ItemFailure.FAILED
         assert len(service.calls) == 1
 
-    async def test_inputs_beyond_a_cut_are_gone_at_once(self):
+    async def test_inputs_in_an_unreachable_data_centre_are_lost_at_once(self):
         service = Service(server("s1"))
         for name in ("x", "y"):
             service.reach.record_timeout("b", name)
@@ -157,7 +159,7 @@
         assert outcome.failure is ItemFailure.INPUT_GONE
         assert service.calls == []
 
-    async def test_a_cancelled_caller_takes_its_waiting_pieces_along(self):
+    async def test_waiting_items_of_a_cancelled_caller_are_withdrawn(self):
         service = Service(server("s1"))
         busy = asyncio.create_task(service.queue.run(items("busy", 4)))
         await asyncio.sleep(0.001)
@@ -168,8 +170,9 @@
         await asyncio.sleep(0.05)
         assert {p.request_id for _, given in service.calls for p in given} == {"busy"}
 
-    # Sets that were given up half made held their servers' memory for seconds.
-    async def test_the_half_of_a_set_that_is_made_is_freed_with_its_caller(self):
+    # Guards against partial sets of cancelled callers, which took up their servers'
+    # memory for seconds.
+    async def test_finished_results_of_a_cancelled_set_are_freed(self):
         service = Service(server("s1"))
         run = asyncio.create_task(service.queue.run(items("half", 6)))
         while len(service.calls) < 2:  # noqa: ASYNC110
@@ -178,8 +181,8 @@
         await asyncio.sleep(0.05)
         assert sorted(service.freed) == [f"half/{n}@a" for n in range(6)]
 
-    async def test_results_that_nobody_waits_for_are_freed(self):
-        """Else they take up a server's memory until they expire."""
+    async def test_results_of_running_calls_are_freed_after_a_cancellation(self):
+        """Otherwise they take up a server's memory until they expire."""
         service = Service(server("s1"))
         gone = asyncio.create_task(service.queue.run(items("gone", 2, size=LARGE)))
         await asyncio.sleep(0.005)
@@ -189,7 +192,7 @@
 
 
 class TestRefusals:
-    async def test_what_cannot_be_done_in_time_is_refused_at_once(self):
+    async def test_items_that_cannot_finish_in_time_are_refused_at_once(self):
         service = Service(server("s1"))
         waiting = asyncio.create_task(service.queue.run(items("w", 40)))
         await asyncio.sleep(0.001)
@@ -200,7 +203,7 @@
         assert now() - began < 0.01
         await waiting
 
-    async def test_beyond_a_backlog_of_late_ones_more_are_refused(self):
+    async def test_late_items_are_refused_if_the_late_backlog_is_full(self):
         service = Service(server("s1"))
         full_call_s = LIMITS.call_s + LIMITS.item_s * LIMITS.batch
         backlog = int(LATE_BACKLOG_S / full_call_s + 3) * LIMITS.batch
@@ -212,20 +215,22 @@
         waiting.cancel()
 
 
-class TestNearness:
+class TestPreferredDataCentre:
     @pytest.mark.parametrize("place", ["a", "b"])
-    async def test_a_piece_runs_where_its_result_is_fetched(self, place):
+    async def test_an_item_runs_where_its_result_is_fetched(self, place):
         service = Service(server("s1", "a"), server("s2", "b"))
         await service.queue.run(items("r", preferred_data_centre=place, size=LARGE))
         used = {"a": "s1", "b": "s2"}[place]
         assert [call[0] for call in service.calls] == [used]
 
     @pytest.mark.parametrize("in_s", [0.03, 0.0])
-    async def test_also_where_it_has_no_time_to_wait(self, in_s):
-        """The near server is idle, so that nothing has to wait.
+    async def test_an_item_without_time_to_wait_runs_where_its_result_is_fetched(
+        self, in_s
+    ):
+        """The preferred server is idle, so no item has to wait.
 
-        Before, whichever idle server came first took a piece without time left,
-        and 2 to 4 GB of results went between data centres on a day.
+        Guards against items without time left that run on the first idle server, which
+        moved 2 to 4 GB of results between data centres per day.
         """
         service = Service(server("s1", "a"), server("s2", "b"))
         runs = [
@@ -240,7 +245,7 @@
         }
         assert places == {"a": "s1", "b": "s2"}
 
-    async def test_it_waits_for_a_busy_near_server_as_far_as_it_has_time(self):
+    async def test_an_item_waits_for_a_busy_preferred_server_if_it_has_time(self):
         full_call_s = LIMITS.call_s + LIMITS.item_s * LIMITS.batch
         for in_s, expected in ((3.5 * full_call_s, "s2"), (1.2 * full_call_s, "s1")):
             service = Service(server("s1", "a"), server("s2", "b"))
@@ -252,7 +257,7 @@
             assert used == expected
             await busy
 
-    async def test_an_idle_near_server_without_room_is_not_waited_for(self):
+    async def test_an_item_does_not_wait_for_a_preferred_server_without_memory(self):
         service = Service(server("s1", "a"), server("s2", "b"))
         await service.queue.run(items("held", 4, preferred_data_centre="b", size=LARGE))
         await service.queue.run(items("more", 3, preferred_data_centre="b", size=LARGE))
@@ -265,8 +270,8 @@
 
 
 class TestSlowServer:
-    async def test_it_gets_only_what_the_others_could_not_do_sooner(self):
-        """srv_slow makes one of three servers four to eight times as slow."""
+    async def test_a_slow_server_only_runs_items_that_others_would_finish_later(self):
+        """The fault srv_slow makes one of three servers four to eight times as slow."""
 
         async def slow_s1(backend, given):
             if backend.entry.id == "s1":
--- a/packages/node/tests/test_overload.py
+++ b/packages/node/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""When refused callers should come back, in a burst and after it."""
+"""The length of overloads, and the retry delay that refused callers get."""
 
 import asyncio
 
@@ -13,13 +13,13 @@
 
 
 class TestOverload:
-    def test_it_lasts_from_the_first_of_a_series_of_refusals(self):
+    def test_an_overload_starts_with_the_first_of_a_series_of_refusals(self):
         overload = Overload()
         for n in range(13):
             overload.record_refusal(10.0 + n / 2)
         assert overload.duration_s(16.0) == 6.0
 
-    def test_it_is_over_where_nothing_was_refused_for_a_while(self):
+    def test_an_overload_ends_after_a_quiet_period(self):
         overload = Overload()
         overload.record_refusal(10.0)
         overload.record_refusal(10.9)
@@ -27,12 +27,12 @@
         overload.record_refusal(20.0)
         assert overload.duration_s(20.5) == 0.5
 
-    def test_there_is_none_at_first(self):
+    def test_there_is_no_overload_at_first(self):
         assert Overload().duration_s(0.0) == 0.0
 
     @pytest.mark.parametrize("burst_s", [2.0, 6.0, 20.0])
-    def test_callers_refused_in_a_burst_mostly_come_back_after_it(self, burst_s):
-        """With a fixed 0.4 s nearly all came back into the burst they left."""
+    def test_callers_refused_in_a_burst_mostly_retry_after_it(self, burst_s):
+        """With a fixed delay of 0.4 s nearly all retries fell into the same burst."""
         overload = Overload()
         late = 0
         for n in range(100):
@@ -43,7 +43,7 @@
 
 
 class TestQueue:
-    async def test_a_refusal_in_a_long_overload_asks_for_a_longer_wait(self):
+    async def test_the_retry_delay_grows_with_the_length_of_the_overload(self):
         service = Service(server("s1"))
         waiting = asyncio.create_task(service.queue.run(items("w", 200)))
         await asyncio.sleep(0.001)
@@ -61,13 +61,14 @@
         waiting.cancel()
 
 
-class TestAtTheDoor:
-    def test_nodes_hear_how_long_a_queue_has_been_overloaded(self):
+class TestAdmission:
+    def test_other_nodes_learn_how_long_a_queue_has_been_overloaded(self):
         now = [0.0]
         loads = QueueLoads(lambda: now[0])
         load = QueueLoad(((1, 9.0),), late_s=2.0, overload_s=8.0)
         loads.receive(ServiceName("archive"), load)
-        # The wait there makes it late by some 7 s; it has been so for 8 s.
+        # The wait at the queue makes the request late by about 7 s, but the overload
+        # has lasted for 8 s.
         assert infeasible_retry_after_s(routed(), deployment(), loads, 0.35) == 8.0
         now[0] = FADE_S
         assert loads.overload_s([ServiceName("archive")]) == 0.0
--- a/packages/node/tests/test_owner_checks.py
+++ b/packages/node/tests/test_owner_checks.py
@@ -1,4 +1,4 @@
-"""Owners of queues that stood still, asked by probes whether they are back."""
+"""Probes of queue owners that stalled."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Host:
-    """A node that hands pieces to one owner, which stands still for a while."""
+    """A node that hands items to one owner, which stalls for a while."""
 
     def __init__(self, still_for_s):
         loop = asyncio.get_running_loop()
@@ -41,14 +41,15 @@
 
 
 class TestOwnerChecks:
-    # Hosts that stood still for part of a second were passed over for seconds.
-    def test_one_that_goes_on_is_trusted_at_once(self):
+    # Guards against owners that are skipped for seconds after they stalled for part of
+    # a second.
+    def test_an_owner_that_recovers_is_used_at_once(self):
         async def play():
             return await Host(still_for_s=0.6).trusts_after_s()
 
         assert run_in_simulated_time(play()) < 0.6 + PROBE_AGAIN_S
 
-    def test_one_that_stays_away_is_tried_again_after_the_usual_time(self):
+    def test_an_owner_that_stays_silent_is_retried_after_the_backoff(self):
         async def play():
             host = Host(still_for_s=60.0)
             return await host.trusts_after_s(), host.probes
--- a/packages/node/tests/test_result_release.py
+++ b/packages/node/tests/test_result_release.py
@@ -1,4 +1,4 @@
-"""Freeing results through owners that are well, stand still, leave or are gone."""
+"""Freeing results through queue owners that are healthy, stalled, leaving or gone."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class Client:
-    """Reaches an owner that answers after a while, or refuses."""
+    """Calls an owner that answers after a delay, or refuses."""
 
     def __init__(self, answers_after_s, refuses):
         self.freed = []
@@ -35,7 +35,7 @@
 
 
 class Owner:
-    """A node that owns a queue, as another one sees it; both note what is freed."""
+    """A queue owner, as seen by another node; both record which results are freed."""
 
     def __init__(self, answers_after_s=0.0, refuses=False, state=MemberState.ALIVE):
         record = msgspec.structs.replace(member("n1"), state=state)
@@ -63,34 +63,36 @@
         return self
 
 
-class TestFreedResults:
-    def test_an_owner_that_answers_frees_them(self):
+class TestResultReleaser:
+    def test_an_owner_that_answers_frees_the_results(self):
         owner = run_in_simulated_time(Owner(0.01).play())
         assert owner.freed_there == [["h"]] and not owner.freed_here
 
-    # A queue whose owner stood still took its servers for full for seconds.
-    def test_an_owner_that_stands_still_hears_of_it_when_it_goes_on(self):
+    # Guards against a stalled owner that is never told of freed results: its queue then
+    # counted its servers as full for seconds.
+    def test_a_stalled_owner_is_told_when_it_recovers(self):
         owner = run_in_simulated_time(Owner(0.6).play())
         assert owner.freed_there == [["h"]]
         [(handles, at)] = owner.freed_here
         assert handles == ["h"] and at == pytest.approx(OWNER_ANSWERS_S)
         assert not owner.silent
 
-    # Pieces that waited at a stopping node were late beside idle servers.
-    def test_an_owner_that_leaves_still_counts_them(self):
+    # Guards against items that wait at a stopping node and become late while servers
+    # are idle, because the node is not told of freed results.
+    def test_an_owner_that_leaves_is_still_told(self):
         owner = run_in_simulated_time(Owner(0.01, state=MemberState.LEFT).play())
         assert owner.freed_there == [["h"]]
 
     @pytest.mark.parametrize("state", [MemberState.ALIVE, MemberState.LEFT])
-    def test_one_that_is_gone_is_done_without(self, state):
+    def test_results_are_freed_locally_if_the_owner_is_gone(self, state):
         owner = run_in_simulated_time(Owner(refuses=True, state=state).play())
         assert [handles for handles, _ in owner.freed_here] == [["h"]]
 
-    def test_a_dead_one_is_not_asked(self):
+    def test_a_dead_owner_is_not_called(self):
         owner = run_in_simulated_time(Owner(state=MemberState.DEAD).play())
         assert owner.freed_here == [(["h"], 0.0)] and not owner.freed_there
 
     @pytest.mark.parametrize("named", [None, "n2"])
-    def test_results_of_this_node_are_freed_here(self, named):
+    def test_results_of_this_node_are_freed_locally(self, named):
         owner = run_in_simulated_time(Owner().play(named))
         assert owner.freed_here == [(["h"], 0.0)]
--- a/tests/support/batching.py
+++ b/tests/support/batching.py
@@ -1,4 +1,4 @@
-"""Servers, queues and requests with stages, as tests of load need them."""
+"""Servers, batch queues and requests with stages for tests of load."""
 
 import asyncio
 
@@ -41,7 +41,7 @@
 
 PORTAL, CLERKS, ARCHIVE = (ServiceName(n) for n in ("portal", "clerks", "archive"))
 LARGE = 3_000_000
-# A tenth of the times on the sheets, so that tests are quick.
+# A tenth of realistic call times, so that tests are fast.
 LIMITS = BatchLimits(
     slots=1,
     queue=2,
@@ -64,7 +64,7 @@
 
 
 class Service:
-    """Servers that run pieces; ``behave`` may give outcomes of its own."""
+    """Servers that run items; ``behave`` may return outcomes of its own."""
 
     def __init__(self, *servers, behave=None, may_retry=True, limits=LIMITS):
         self._limits = limits
