--- a/packages/node/src/eelgrass_node/connection/batch_calls.py
+++ b/packages/node/src/eelgrass_node/connection/batch_calls.py
@@ -15,7 +15,7 @@
 
 __all__ = ["BatchCalls", "BatchCodec"]
 
-CONNECT_S = 0.3
+CONNECT_TIMEOUT_S = 0.3
 FREE_TIMEOUT_S = 1.0
 HTTP_OK = 200
 HTTP_MISDIRECTED = 421
@@ -54,30 +54,30 @@
         self._on_replaced = on_replaced
 
     async def run(
-        self, backend: Backend, items: list[BatchItem], within_s: float
+        self, backend: Backend, items: list[BatchItem], timeout_s: float
     ) -> list[ItemOutcome]:
         """Run items in one call; if it fails, every outcome has a failure."""
         now = asyncio.get_running_loop().time()
         body = self._codec.encode_items(items, now)
         try:
-            async with StallAwareTimeout(within_s):
+            async with StallAwareTimeout(timeout_s):
                 status, answer = await self._post(backend, self._codec.RUN_PATH, body)
             if status == HTTP_OK:
                 return self._codec.decode_outcomes(answer, len(items))
         except TimeoutError:
             # Other connections to this server may be dead as well.
             backend.connections.replace()
-            return _all(items, ItemFailure.TIMED_OUT)
+            return _all_failed(items, ItemFailure.TIMED_OUT)
         except (aiohttp.ClientConnectorError, ValueError, BatchAnswerMalformed):
-            return _all(items, ItemFailure.UNREACHABLE)
+            return _all_failed(items, ItemFailure.UNREACHABLE)
         except (aiohttp.ClientError, OSError):
-            return _all(items, ItemFailure.LOST)
+            return _all_failed(items, ItemFailure.LOST)
         if status == HTTP_MISDIRECTED:
             self._on_replaced(backend)
-            return _all(items, ItemFailure.UNREACHABLE)
+            return _all_failed(items, ItemFailure.UNREACHABLE)
         if status == HTTP_UNAVAILABLE:
-            return _all(items, ItemFailure.NO_ROOM)
-        return _all(items, ItemFailure.FAILED)
+            return _all_failed(items, ItemFailure.NO_ROOM)
+        return _all_failed(items, ItemFailure.FAILED)
 
     async def free(self, backend: Backend, handles: list[str]) -> bool:
         """Free results; return whether the server did so.
@@ -101,7 +101,7 @@
         connections.enter()
         try:
             async with connections.request(
-                "POST", path, headers, body, CONNECT_S, reuse=True
+                "POST", path, headers, body, CONNECT_TIMEOUT_S, reuse=True
             ) as response:
                 connections.track(response)
                 return response.status, await response.read()
@@ -109,5 +109,5 @@
             connections.leave()
 
 
-def _all(items: list[BatchItem], failure: ItemFailure) -> list[ItemOutcome]:
+def _all_failed(items: list[BatchItem], failure: ItemFailure) -> list[ItemOutcome]:
     return [ItemOutcome(failure=failure)] * len(items)
--- a/packages/node/src/eelgrass_node/connection/batch_handoff.py
+++ b/packages/node/src/eelgrass_node/connection/batch_handoff.py
@@ -26,15 +26,15 @@
 
 ITEMS_PATH = "/peer/v1/pieces"
 FREE_PATH = "/peer/v1/results/free"
-CONNECT_S = 0.15
+CONNECT_TIMEOUT_S = 0.15
 # A round trip between data centres takes 3 ms, and a busy node adds about 10 ms.
-ACCEPT_S = 0.15
+ACCEPT_TIMEOUT_S = 0.15
 # How often the owner sends a heartbeat while items wait or run. A node that misses two
 # of them stops waiting.
-BEAT_S = 0.3
-SILENCE_S = 0.75
+HEARTBEAT_INTERVAL_S = 0.3
+HEARTBEAT_TIMEOUT_S = 0.75
 KEEP_ALIVE_S = 60.0
-BEAT = b"\n"
+HEARTBEAT = b"\n"
 UNKNOWN_SERVICE = 503
 
 RunItems = Callable[[ServiceName, list[BatchItem]], Awaitable[list[ItemOutcome]]]
@@ -86,7 +86,7 @@
 
     def __init__(self, on_load: Callable[[ServiceName, QueueLoad], None]) -> None:
         self._on_load = on_load
-        self._session = new_session(KEEP_ALIVE_S, CONNECT_S)
+        self._session = new_session(KEEP_ALIVE_S, CONNECT_TIMEOUT_S)
 
     async def run(
         self, address: str, service: ServiceName, items: list[BatchItem]
@@ -96,16 +96,16 @@
         Raises :class:`PeerUnreachable`.
         """
         now = asyncio.get_running_loop().time()
-        body = msgspec.json.encode(_Handoff(service, _sent(items, now)))
+        body = msgspec.json.encode(_Handoff(service, _encode_set(items, now)))
         try:
-            async with StallAwareTimeout(ACCEPT_S) as bound:
+            async with StallAwareTimeout(ACCEPT_TIMEOUT_S) as bound:
                 async with self._session.post(
                     f"http://{address}{ITEMS_PATH}", data=body, allow_redirects=False
                 ) as response:
-                    line = BEAT
-                    while line == BEAT:
+                    line = HEARTBEAT
+                    while line == HEARTBEAT:
                         line = await response.content.readline()
-                        bound.restart(SILENCE_S)
+                        bound.restart(HEARTBEAT_TIMEOUT_S)
             done = msgspec.json.decode(line, type=_Done)
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError) as e:
             raise _unreachable(address, e) from e
@@ -121,13 +121,13 @@
         address: str,
         service: ServiceName,
         handles: list[str],
-        within_s: float,
+        timeout_s: float,
     ) -> None:
         """Have results freed by another node; raises :class:`PeerUnreachable`."""
         body = msgspec.json.encode(_FreeResults(service, handles))
         try:
             async with (
-                StallAwareTimeout(within_s),
+                StallAwareTimeout(timeout_s),
                 self._session.post(
                     f"http://{address}{FREE_PATH}", data=body, allow_redirects=False
                 ) as response,
@@ -165,7 +165,7 @@
         """Answer ``POST /peer/v1/pieces`` with heartbeats, then the outcomes."""
         handoff = self._decoder.decode(await request.read())
         now = asyncio.get_running_loop().time()
-        items = _received(handoff.pieces, now)
+        items = _decode_set(handoff.pieces, now)
         if not self._has_servers(handoff.service):
             return web.Response(status=UNKNOWN_SERVICE)
         response = web.StreamResponse()
@@ -173,17 +173,17 @@
         running = asyncio.ensure_future(self._run(handoff.service, items))
         try:
             while not running.done():
-                await response.write(BEAT)
-                await asyncio.wait({running}, timeout=BEAT_S)
+                await response.write(HEARTBEAT)
+                await asyncio.wait({running}, timeout=HEARTBEAT_INTERVAL_S)
             done = _Done(running.result(), self._load(handoff.service))
             await response.write(msgspec.json.encode(done) + b"\n")
             await response.write_eof()
         except BaseException:
-            self._give_up(handoff.service, running)
+            self._abandon(handoff.service, running)
             raise
         return response
 
-    def _give_up(
+    def _abandon(
         self, service: ServiceName, running: asyncio.Future[list[ItemOutcome]]
     ) -> None:
         """Cancel the run of a caller that is gone, or free the undelivered results."""
@@ -210,7 +210,7 @@
     return PeerUnreachable(address, repr(error), silent)
 
 
-def _sent(items: list[BatchItem], now: float) -> _SentSet:
+def _encode_set(items: list[BatchItem], now: float) -> _SentSet:
     first = items[0]
     return _SentSet(
         request_id=first.request_id,
@@ -230,7 +230,7 @@
     )
 
 
-def _received(sent: _SentSet, now: float) -> list[BatchItem]:
+def _decode_set(sent: _SentSet, now: float) -> list[BatchItem]:
     return [
         BatchItem(
             request_id=sent.request_id,
--- a/packages/node/src/eelgrass_node/process/batch_queue.py
+++ b/packages/node/src/eelgrass_node/process/batch_queue.py
@@ -38,8 +38,8 @@
 MAX_TRIES = 3
 # A call times out after its expected time multiplied by the factor, plus the slack:
 # slow servers take 4 to 8 times as long, and unreachable ones never answer.
-GIVE_UP_FACTOR = 2.5
-GIVE_UP_SLACK_S = 0.25
+CALL_TIMEOUT_FACTOR = 2.5
+CALL_TIMEOUT_SLACK_S = 0.25
 # The shortest retry delay for refused callers. Replies add a random part in proportion
 # to the delay, so that callers do not retry all at once.
 MIN_RETRY_AFTER_S = 0.2
@@ -49,9 +49,9 @@
 LATE_BACKLOG_S = 1.0
 # The longest wait reported to other nodes. It is longer than any caller waits, and
 # finite because a queue without servers has an infinite wait, which JSON cannot encode.
-LONGEST_TOLD_S = 60.0
+MAX_REPORTED_WAIT_S = 60.0
 # When waiting items are rechecked if no other event triggers it.
-FILL_AGAIN_S = 0.05
+RECHECK_AFTER_S = 0.05
 
 
 class BatchQueue:
@@ -91,7 +91,7 @@
         self._overload = Overload()
         self._shares = AccountShares()
         self._tasks: set[asyncio.Task] = set()
-        self._fill_timer: asyncio.TimerHandle | None = None
+        self._recheck_timer: asyncio.TimerHandle | None = None
 
     @property
     def waiting(self) -> int:
@@ -120,7 +120,7 @@
         try:
             return list(await asyncio.gather(*futures))
         except asyncio.CancelledError:
-            self._free_made(futures)
+            self._free_finished(futures)
             raise
         finally:
             self._waiting.withdraw(items)
@@ -135,8 +135,8 @@
         now = _now()
         self._update_shares(now)
         limits = self._limits()
-        places = limits.batch * self._servers.slots()
-        item_s = self._servers.call_s(limits.batch) / places
+        capacity = limits.batch * self._servers.slots()
+        item_s = self._servers.call_s(limits.batch) / capacity
         late = over_share = 0
         priorities: Counter[int] = Counter()
         for items in self._waiting:
@@ -150,19 +150,21 @@
         ahead = 0
         for priority in sorted(priorities):
             ahead += priorities[priority]
-            waits.append((priority, self._told_wait(ahead, now)))
+            waits.append((priority, self._reported_wait(ahead, now)))
         return QueueLoad(
             wait_by_priority=tuple(waits),
             late_s=round(late * item_s, 3),
             overload_s=round(self._overload.duration_s(now), 3),
             over_share_accounts=tuple(self._shares.over_share_accounts),
-            over_share_wait_s=self._told_wait(ahead + over_share, now)
+            over_share_wait_s=self._reported_wait(ahead + over_share, now)
             / self._shares.left_fraction,
         )
 
-    def _told_wait(self, ahead: int, now: float) -> float:
+    def _reported_wait(self, ahead: int, now: float) -> float:
         """Return the wait behind ``ahead`` items, as reported to other nodes."""
-        return round(min(self._servers.expected_wait(ahead, now), LONGEST_TOLD_S), 3)
+        return round(
+            min(self._servers.expected_wait(ahead, now), MAX_REPORTED_WAIT_S), 3
+        )
 
     def use_by_id(self, now: float) -> dict[BackendId, dict[str, float]]:
         """Return how the queue uses its healthy servers, for operators."""
@@ -173,9 +175,9 @@
         while self._waiting:
             now = _now()
             self._update_shares(now)
-            self._drop_hopeless(now)
+            self._drop_infeasible(now)
             if not self._start_one(now):
-                self._fill_later()
+                self._recheck_later()
                 return
 
     def _start_one(self, now: float) -> bool:
@@ -187,14 +189,14 @@
                 return True
         return False
 
-    def _fill_later(self) -> None:
+    def _recheck_later(self) -> None:
         """Recheck soon: items may wait for a preferred server, or for memory."""
-        if self._fill_timer is None:
+        if self._recheck_timer is None:
             loop = asyncio.get_running_loop()
-            self._fill_timer = loop.call_later(FILL_AGAIN_S, self._fill_again)
+            self._recheck_timer = loop.call_later(RECHECK_AFTER_S, self._recheck)
 
-    def _fill_again(self) -> None:
-        self._fill_timer = None
+    def _recheck(self) -> None:
+        self._recheck_timer = None
         self.start_calls()
 
     def _update_shares(self, now: float) -> None:
@@ -239,7 +241,7 @@
             or (rank(items[0]) <= own and not self._order.is_late(items[0], now))
         )
 
-    def _drop_hopeless(self, now: float) -> None:
+    def _drop_infeasible(self, now: float) -> None:
         shortest = self._servers.call_s(1)
         for items in self._waiting:
             if items[0].deadline - now < shortest:
@@ -250,7 +252,7 @@
                 )
                 self._log_late(items, now)
                 self._settle_all(items, outcome)
-            elif self._servers.inputs_lost(items[0]):
+            elif self._servers.inputs_unavailable(items[0]):
                 # The request then runs the earlier stages again to replace the inputs.
                 self._settle_all(items, ItemOutcome(failure=ItemFailure.INPUT_GONE))
 
@@ -274,7 +276,7 @@
 
     def _select_batch(self, server: Backend, now: float) -> list[BatchItem]:
         limits = self._limits()
-        place = server.entry.data_centre
+        data_centre = server.entry.data_centre
         sets = [
             items
             for items in self._waiting
@@ -282,9 +284,9 @@
             and not self._order.waits_for_preferred(items[0], server, now)
         ]
         return select_batch(
-            sorted(sets, key=lambda items: self._order.key(items[0], place, now)),
+            sorted(sets, key=lambda items: self._order.key(items[0], data_centre, now)),
             limits.batch,
-            self._servers.room(server, now),
+            self._servers.free_bytes(server, now),
             limits.memory_bytes,
             self._servers.size,
             now,
@@ -322,19 +324,19 @@
         expected_s: float,
     ) -> None:
         batch = list(futures)
-        within_s = expected_s * GIVE_UP_FACTOR + GIVE_UP_SLACK_S
+        timeout_s = expected_s * CALL_TIMEOUT_FACTOR + CALL_TIMEOUT_SLACK_S
         began = running_time()
         use = self._servers.use(server)
         try:
-            outcomes = await self._run_call(server, batch, within_s)
+            outcomes = await self._run_call(server, batch, timeout_s)
         finally:
             use.calls -= 1
         now = _now()
         # Stalls of this process are left out: the server was not slow meanwhile.
         took_s = running_time() - began
         self._servers.record_call(server, batch, outcomes, took_s)
-        made = sum(outcome.handle is not None for outcome in outcomes)
-        self._shares.record_call(self._order.work_s(made), took_s)
+        finished = sum(outcome.handle is not None for outcome in outcomes)
+        self._shares.record_call(self._order.work_s(finished), took_s)
         until = now + self._limits().result_life_s
         producer = server.entry.incarnation
         for item, outcome in zip(batch, outcomes, strict=True):
@@ -342,39 +344,39 @@
                 use.hold(outcome.handle, int(self._servers.size(item)), until)
                 outcome = msgspec.structs.replace(outcome, producer=producer)
             self._finish(item, futures[item], outcome)
-        self._free_unwanted(futures, outcomes)
+        self._free_abandoned(futures, outcomes)
         self.start_calls()
 
-    def _free_made(self, futures: Sequence[asyncio.Future[ItemOutcome]]) -> None:
+    def _free_finished(self, futures: Sequence[asyncio.Future[ItemOutcome]]) -> None:
         """Free the finished results of a set whose caller is gone."""
-        made = [f.result() for f in futures if f.done() and not f.cancelled()]
-        handles = [outcome.handle for outcome in made if outcome.handle is not None]
+        finished = [f.result() for f in futures if f.done() and not f.cancelled()]
+        handles = [outcome.handle for outcome in finished if outcome.handle is not None]
         if handles:
             self._free_results(handles)
 
-    def _free_unwanted(
+    def _free_abandoned(
         self,
         futures: dict[BatchItem, asyncio.Future[ItemOutcome]],
         outcomes: list[ItemOutcome],
     ) -> None:
         """Free results whose caller is gone; they would take up server memory."""
-        unwanted = [
+        abandoned = [
             outcome.handle
             for future, outcome in zip(futures.values(), outcomes, strict=True)
             if outcome.handle is not None and future.cancelled()
         ]
-        if unwanted:
-            self._free_results(unwanted)
+        if abandoned:
+            self._free_results(abandoned)
 
     def _finish(
         self, item: BatchItem, future: asyncio.Future[ItemOutcome], outcome: ItemOutcome
     ) -> None:
         item.tries += 1
-        again = outcome.failure in SERVER_FAILURES | {ItemFailure.NO_ROOM}
+        is_retryable = outcome.failure in SERVER_FAILURES | {ItemFailure.NO_ROOM}
         if outcome.failure is ItemFailure.NO_ROOM:
             # The server did not run the item; it is called again when memory is free.
             item.tries -= 1
-        if again and item.tries < MAX_TRIES and not future.done():
+        if is_retryable and item.tries < MAX_TRIES and not future.done():
             if self._may_retry(item):
                 self._waiting.add(item, future)
                 return
--- a/packages/node/src/eelgrass_node/process/batch_selection.py
+++ b/packages/node/src/eelgrass_node/process/batch_selection.py
@@ -28,9 +28,9 @@
 
 def select_batch(
     ordered: Iterable[Sequence[BatchItem]],
-    places: int,
-    room: float,
-    memory: float,
+    max_items: int,
+    free_bytes: float,
+    memory_bytes: float,
     size_of: Callable[[BatchItem], float],
     now: float,
 ) -> list[BatchItem]:
@@ -42,54 +42,54 @@
     """
     batch: list[BatchItem] = []
     reserved = False
-    for group in ordered:
-        if len(batch) == places:
+    for item_set in ordered:
+        if len(batch) == max_items:
             break
-        if batch and (group[0].isolated or batch[0].isolated):
+        if batch and (item_set[0].isolated or batch[0].isolated):
             # An isolated set gets a call of its own: a server that cannot reach the
             # inputs of one item blocks on it, and with it the whole call.
             continue
         # All items of a set have results of the same size.
-        size = size_of(group[0]) * len(group)
-        small = group[0].result_bytes < SMALL_BYTES
+        size = size_of(item_set[0]) * len(item_set)
+        small = item_set[0].result_bytes < SMALL_BYTES
         if reserved and not small:
             continue
-        left = places - len(batch)
-        part_size = size * min(1.0, left / len(group))
-        if len(group) <= left and size <= room:
-            batch += group
-            room -= size
+        remaining = max_items - len(batch)
+        part_size = size * min(1.0, remaining / len(item_set))
+        if len(item_set) <= remaining and size <= free_bytes:
+            batch += item_set
+            free_bytes -= size
         elif (
-            len(group) > places
-            or size > memory
-            or room - part_size >= memory * AMPLE_FRACTION
+            len(item_set) > max_items
+            or size > memory_bytes
+            or free_bytes - part_size >= memory_bytes * AMPLE_FRACTION
         ):
             # Split the set: it fits into no single call, or enough memory stays free
             # for the sets that wait.
-            part = _part(group, left, room, size_of)
+            part = _partial_set(item_set, remaining, free_bytes, size_of)
             batch += part
-            room -= sum(size_of(item) for item in part)
-            reserved = reserved or (not small and len(part) < len(group))
-        elif not small and _holds_up(group, now):
+            free_bytes -= sum(size_of(item) for item in part)
+            reserved = reserved or (not small and len(part) < len(item_set))
+        elif not small and _reserves_memory(item_set, now):
             reserved = True
     return batch
 
 
-def _holds_up(group: Sequence[BatchItem], now: float) -> bool:
+def _reserves_memory(item_set: Sequence[BatchItem], now: float) -> bool:
     """Return whether memory is reserved for a set that did not fit."""
-    return group[0].set_started or now - group[0].queued_at > RESERVE_AFTER_S
+    return item_set[0].set_started or now - item_set[0].queued_at > RESERVE_AFTER_S
 
 
-def _part(
-    group: Sequence[BatchItem],
-    places: int,
-    room: float,
+def _partial_set(
+    item_set: Sequence[BatchItem],
+    max_items: int,
+    free_bytes: float,
     size_of: Callable[[BatchItem], float],
 ) -> list[BatchItem]:
     part: list[BatchItem] = []
-    for item in group[:places]:
-        room -= size_of(item)
-        if room < 0:
+    for item in item_set[:max_items]:
+        free_bytes -= size_of(item)
+        if free_bytes < 0:
             break
         part.append(item)
     return part
--- a/packages/node/src/eelgrass_node/process/cost_store.py
+++ b/packages/node/src/eelgrass_node/process/cost_store.py
@@ -25,7 +25,7 @@
 __all__ = ["CostStore"]
 
 COST_OBJECTS = "cost_objects"
-PAGE = 500
+PAGE_ROWS = 500
 
 
 class CostStore:
@@ -43,9 +43,9 @@
         self._ledger = ledger
         self._table = table
         self._objects = objects
-        self._name = f"costs/{node}/{incarnation}.json"
+        self._object_name = f"costs/{node}/{incarnation}.json"
         self._interval_s = interval_s
-        self._named = False
+        self._is_registered = False
         self._stored = b""
 
     async def run(self) -> None:
@@ -60,9 +60,9 @@
         if body in (self._stored, b"[]"):
             return True
         try:
-            await self._objects.put(self._name, body)
-            if not self._named:
-                await self._name_object()
+            await self._objects.put(self._object_name, body)
+            if not self._is_registered:
+                await self._register_object()
         except PlatformError as error:
             log(Part.COSTS, "Could not store this process's costs.", error=str(error))
             return False
@@ -73,16 +73,16 @@
         """Return the sums over all processes whose costs are stored."""
         by_key: dict[CostKey, CostRow] = {}
         after = ""
-        while rows := await self._table.scan(COST_OBJECTS, after, PAGE):
+        while rows := await self._table.scan(COST_OBJECTS, after, PAGE_ROWS):
             for row in rows:
                 body = await self._objects.get(row.key)
                 add_up(by_key, msgspec.json.decode(body, type=list[CostRow]))
             after = rows[-1].key
         return sorted(by_key.values(), key=CostRow.order)
 
-    async def _name_object(self) -> None:
-        key = RowKey(COST_OBJECTS, self._name)
-        write = Write(key.table, key.key, {"object": self._name})
+    async def _register_object(self) -> None:
+        key = RowKey(COST_OBJECTS, self._object_name)
+        write = Write(key.table, key.key, {"object": self._object_name})
         # Unconditional: a repeated write has the same effect.
         await self._table.commit(Transaction((), (write,)))
-        self._named = True
+        self._is_registered = True
--- a/packages/node/src/eelgrass_node/process/high_capacity_nodes.py
+++ b/packages/node/src/eelgrass_node/process/high_capacity_nodes.py
@@ -14,6 +14,6 @@
 
 def high_capacity_nodes(nodes: Iterable[T], capacity: Callable[[T], float]) -> list[T]:
     """Return the nodes whose capacity is comparable to the largest of them."""
-    known = list(nodes)
-    least = max(map(capacity, known), default=0.0) * HIGH_CAPACITY_FRACTION
-    return [node for node in known if capacity(node) >= least]
+    candidates = list(nodes)
+    min_capacity = max(map(capacity, candidates), default=0.0) * HIGH_CAPACITY_FRACTION
+    return [node for node in candidates if capacity(node) >= min_capacity]
--- a/packages/node/src/eelgrass_node/process/item_order.py
+++ b/packages/node/src/eelgrass_node/process/item_order.py
@@ -13,7 +13,7 @@
 LARGE_SET_WEIGHT = 3.0
 # The longest time, about one call, that an item waits for a server in the data centre
 # where its result will be fetched, provided that it still meets its latency target.
-NEAR_PATIENCE_S = 0.3
+MAX_PREFERRED_WAIT_S = 0.3
 
 
 def rank(item: BatchItem) -> tuple[bool, int, float]:
@@ -54,7 +54,7 @@
         late = self.is_late(item, now)
         time = item.due + self.work_s(item.set_size) * LARGE_SET_WEIGHT
         if item.preferred_data_centre == data_centre:
-            time -= NEAR_PATIENCE_S
+            time -= MAX_PREFERRED_WAIT_S
         return (not item.set_started, late, item.over_share, item.priority, time)
 
     def waits_for_preferred(self, item: BatchItem, server: Backend, now: float) -> bool:
@@ -64,12 +64,12 @@
             or item.preferred_data_centre == server.entry.data_centre
         ):
             return False
-        if item.set_started or now - item.queued_at >= NEAR_PATIENCE_S:
+        if item.set_started or now - item.queued_at >= MAX_PREFERRED_WAIT_S:
             return False
         limits = self._limits()
         size = self._servers.size(item) * min(item.set_size, limits.batch)
         wait_s = self._servers.wait_at(item.preferred_data_centre, size, now)
-        if wait_s > NEAR_PATIENCE_S:
+        if wait_s > MAX_PREFERRED_WAIT_S:
             return False
         # The wait must not make an item late; one that is late already may wait.
         end = now + wait_s + self._servers.call_s(limits.batch)
--- a/packages/node/src/eelgrass_node/process/local_queues.py
+++ b/packages/node/src/eelgrass_node/process/local_queues.py
@@ -142,10 +142,10 @@
         ]
 
     async def _call(
-        self, backend: Backend, items: list[BatchItem], within_s: float
+        self, backend: Backend, items: list[BatchItem], timeout_s: float
     ) -> list[ItemOutcome]:
         """Run items in one call; report their requests if the server was lost."""
-        outcomes = await self._run_call(backend, items, within_s)
+        outcomes = await self._run_call(backend, items, timeout_s)
         failures = {outcome.failure for outcome in outcomes}
         if not failures <= {ItemFailure.LOST, ItemFailure.TIMED_OUT}:
             return outcomes
@@ -154,8 +154,8 @@
         for item in items:
             # After servers crashed under a request, its items run in calls of their
             # own, so that items of other requests are not lost with them.
-            ended = self._poison.quarantine.crashed_servers(item.fingerprint)
-            item.isolated |= len(ended) > 1
+            crashed = self._poison.quarantine.crashed_servers(item.fingerprint)
+            item.isolated |= len(crashed) > 1
         if ItemFailure.LOST not in failures:
             return outcomes
         return [ItemOutcome(failure=ItemFailure.UNREACHABLE)] * len(items)
@@ -173,5 +173,5 @@
 
     def _limits(self, service: ServiceName) -> BatchLimits:
         deployment = self._deployment()
-        known = deployment and deployment.service_by_name.get(service)
-        return (known and known.batch_limits) or UNKNOWN_LIMITS
+        configured = deployment and deployment.service_by_name.get(service)
+        return (configured and configured.batch_limits) or UNKNOWN_LIMITS
--- a/packages/node/src/eelgrass_node/process/metrics.py
+++ b/packages/node/src/eelgrass_node/process/metrics.py
@@ -68,10 +68,10 @@
         self._request_s = _Histogram(
             "request_seconds", "Time from arrival to the end of a request.", "outcome"
         )
-        self._staged_s = _Histogram(
+        self._stages_s = _Histogram(
             "stages_seconds", "Time until the stages of a request are done.", "route"
         )
-        self._queue_s = _Histogram(
+        self._wait_s = _Histogram(
             "piece_wait_seconds", "Time a batch item waits for a server.", "service"
         )
 
@@ -96,7 +96,7 @@
             )
             family.add_metric([gauge.label_value] if labels else [], gauge.value)
         yield from families.values()
-        for histogram in (self._request_s, self._staged_s, self._queue_s):
+        for histogram in (self._request_s, self._stages_s, self._wait_s):
             yield _family(histogram)
 
     def record_request(self, outcome: str, took_s: float) -> None:
@@ -105,11 +105,11 @@
 
     def record_stages(self, route: str, took_s: float) -> None:
         """Record after how many seconds the stages of a request were done."""
-        self._staged_s.observe(route, took_s)
+        self._stages_s.observe(route, took_s)
 
     def record_wait(self, service: str, waited_s: float) -> None:
         """Record how many seconds a batch item waited for a server."""
-        self._queue_s.observe(service, waited_s)
+        self._wait_s.observe(service, waited_s)
 
     def text(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
--- a/packages/node/src/eelgrass_node/process/overload.py
+++ b/packages/node/src/eelgrass_node/process/overload.py
@@ -11,7 +11,7 @@
 
 # An overload has ended if nothing was refused for this long; in a burst some requests
 # are refused every second.
-CALM_S = 1.0
+QUIET_PERIOD_S = 1.0
 
 
 class Overload:
@@ -23,10 +23,10 @@
 
     def record_refusal(self, now: float) -> None:
         """Record that a request was refused."""
-        if now - self._last > CALM_S:
+        if now - self._last > QUIET_PERIOD_S:
             self._since = now
         self._last = now
 
     def duration_s(self, now: float) -> float:
         """Return how long the overload has lasted so far, 0 if there is none."""
-        return now - self._since if now - self._last <= CALM_S else 0.0
+        return now - self._since if now - self._last <= QUIET_PERIOD_S else 0.0
--- a/packages/node/src/eelgrass_node/process/owner_checks.py
+++ b/packages/node/src/eelgrass_node/process/owner_checks.py
@@ -16,7 +16,7 @@
 __all__ = ["OwnerChecks"]
 
 # Frequent probes are cheap: each is one datagram in each direction.
-PROBE_AGAIN_S = 0.1
+PROBE_INTERVAL_S = 0.1
 
 
 class OwnerChecks:
@@ -47,4 +47,4 @@
     async def _check(self, owner: Member) -> None:
         while self._owners.is_backed_off(owner):
             self._probe(owner)
-            await asyncio.sleep(PROBE_AGAIN_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
--- a/packages/node/src/eelgrass_node/process/queue_load.py
+++ b/packages/node/src/eelgrass_node/process/queue_load.py
@@ -16,7 +16,7 @@
 
 # The weight of a report falls linearly from 1 to 0 in this time, because bursts and
 # queues change within a second or two.
-FADE_S = 2.0
+MAX_AGE_S = 2.0
 
 
 class QueueLoad(msgspec.Struct, frozen=True, array_like=True):
@@ -48,32 +48,32 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._heard_by_service: dict[ServiceName, tuple[float, QueueLoad]] = {}
+        self._report_by_service: dict[ServiceName, tuple[float, QueueLoad]] = {}
 
     def receive(self, service: ServiceName, load: QueueLoad) -> None:
         """Record the reported load of a queue."""
-        self._heard_by_service[service] = (self._clock(), load)
+        self._report_by_service[service] = (self._clock(), load)
 
     def wait_s(
         self, service: ServiceName, priority: int, account: str | None = None
     ) -> float:
         """Return the expected wait of a new item, in seconds."""
-        load, weight = self._known(service)
+        load, weight = self._weighted_load(service)
         return load.wait_s(priority, account) * weight
 
     def late_s(self, services: Iterable[ServiceName]) -> float:
         """Return the largest backlog of late items among some services."""
-        known = (self._known(service) for service in services)
-        return max((load.late_s * weight for load, weight in known), default=0.0)
+        weighted = (self._weighted_load(service) for service in services)
+        return max((load.late_s * weight for load, weight in weighted), default=0.0)
 
     def overload_s(self, services: Iterable[ServiceName]) -> float:
         """Return the longest current overload among some services."""
-        known = (self._known(service) for service in services)
-        return max((load.overload_s * weight for load, weight in known), default=0.0)
+        weighted = (self._weighted_load(service) for service in services)
+        return max((load.overload_s * weight for load, weight in weighted), default=0.0)
 
-    def _known(self, service: ServiceName) -> tuple[QueueLoad, float]:
-        heard = self._heard_by_service.get(service)
-        if heard is None:
+    def _weighted_load(self, service: ServiceName) -> tuple[QueueLoad, float]:
+        report = self._report_by_service.get(service)
+        if report is None:
             return QueueLoad(), 0.0
-        at, load = heard
-        return load, max(0.0, 1.0 - (self._clock() - at) / FADE_S)
+        at, load = report
+        return load, max(0.0, 1.0 - (self._clock() - at) / MAX_AGE_S)
--- a/packages/node/src/eelgrass_node/process/queue_owners.py
+++ b/packages/node/src/eelgrass_node/process/queue_owners.py
@@ -65,11 +65,11 @@
         The first is the owner among all nodes, the second the owner among the nodes of
         this data centre. This node itself ends the list.
         """
-        trusted = [m for m in self._members() if self._is_trusted(m)]
-        near = [m for m in trusted if m.data_centre == self._data_centre]
+        available = [m for m in self._members() if self._is_available(m)]
+        local = [m for m in available if m.data_centre == self._data_centre]
         candidates: list[Member | None] = []
-        for group in (trusted, near):
-            first = self._first(group, service)
+        for group in (available, local):
+            first = self._owner_among(group, service)
             if first is None:
                 break
             if first not in candidates:
@@ -98,13 +98,13 @@
         self._backed_off_until.pop(owner.id, None)
         self._reach.record_answer(owner.data_centre)
 
-    def _first(self, members: list[Member], service: str) -> Member | None:
+    def _owner_among(self, members: list[Member], service: str) -> Member | None:
         """Return the owner among ``members`` and this node; None is this node."""
-        names: list[Member | None] = list(members)
+        nodes: list[Member | None] = list(members)
         if not self._leaving or not members:
-            names.append(None)
-        strong = high_capacity_nodes(names, self._capacity_of)
-        return ranked(strong, service, name=self._name)[0]
+            nodes.append(None)
+        eligible = high_capacity_nodes(nodes, self._capacity_of)
+        return ranked(eligible, service, name=self._name)[0]
 
     def _capacity_of(self, member: Member | None) -> float:
         return self._capacity if member is None else member.capacity
@@ -112,7 +112,7 @@
     def _name(self, member: Member | None) -> str:
         return self._own if member is None else member.id
 
-    def _is_trusted(self, member: Member) -> bool:
+    def _is_available(self, member: Member) -> bool:
         if self._reach.is_suspected(member.data_centre):
             return False
         return not self.is_backed_off(member)
--- a/packages/node/src/eelgrass_node/process/queue_servers.py
+++ b/packages/node/src/eelgrass_node/process/queue_servers.py
@@ -32,7 +32,7 @@
 UNKNOWN_RESULTS = "unknown"
 # How many times as many servers may be remembered as are listed; then those that are
 # no longer listed are dropped.
-MAX_KEPT_FACTOR = 4
+MAX_REMEMBERED_FACTOR = 4
 
 SERVER_FAILURES = frozenset(
     (ItemFailure.UNREACHABLE, ItemFailure.TIMED_OUT, ItemFailure.FAILED)
@@ -60,7 +60,7 @@
         self._listed = listed
         self._reach = reach
         self._data_centre_of = data_centre_of
-        self._is_over = has_ended
+        self._has_ended = has_ended
         self._use_by_incarnation: dict[ServerIncarnation, ServerUse] = {}
         self._size_factor = 1.0
 
@@ -73,7 +73,7 @@
         incarnation = server.entry.incarnation
         use = self._use_by_incarnation.get(incarnation)
         if use is None:
-            self._forget_gone()
+            self._drop_unlisted()
             use = self._use_by_incarnation[incarnation] = ServerUse(_now())
         return use
 
@@ -99,7 +99,7 @@
         """Return the expected size of an item's result, in bytes."""
         return item.result_bytes * self._size_factor
 
-    def room(self, server: Backend, now: float) -> float:
+    def free_bytes(self, server: Backend, now: float) -> float:
         """Return the memory that a server has left for results, in bytes."""
         return self._limits().memory_bytes - self.use(server).held_bytes(now)
 
@@ -130,22 +130,25 @@
         Idle servers without memory for results of ``size`` bytes are ignored. Without
         any server the wait is infinite.
         """
-        near = [s for s in self.healthy() if s.entry.data_centre == data_centre]
+        local = [s for s in self.healthy() if s.entry.data_centre == data_centre]
         return min(
-            (self._wait_for(server, size, now) for server in near), default=math.inf
+            (self._wait_for(server, size, now) for server in local), default=math.inf
         )
 
     def _wait_for(self, server: Backend, size: float, now: float) -> float:
         use = self.use(server)
         if use.calls >= self._limits().slots:
             return max(0.0, use.free_at - now)
-        return 0.0 if self.room(server, now) >= size else math.inf
+        return 0.0 if self.free_bytes(server, now) >= size else math.inf
 
-    def inputs_lost(self, item: BatchItem) -> bool:
+    def inputs_unavailable(self, item: BatchItem) -> bool:
         """Return whether inputs of an item are lost, or probably unreachable."""
-        if any(self._is_over(producer) for producer in item.producers):
+        if any(self._has_ended(producer) for producer in item.producers):
             return True
-        return any(self._reach.is_suspected(place) for place in self._places(item))
+        return any(
+            self._reach.is_suspected(data_centre)
+            for data_centre in self._input_data_centres(item)
+        )
 
     def record_call(
         self,
@@ -158,7 +161,7 @@
         failures = {outcome.failure for outcome in outcomes}
         use = self.use(server)
         if ItemFailure.TIMED_OUT in failures:
-            self._note_silent(server, batch)
+            self._on_timeout(server, batch)
         else:
             self._reach.record_answer(server.entry.data_centre)
         if ItemFailure.UNREACHABLE not in failures:
@@ -166,13 +169,13 @@
         # A healthy server fails single items now and then, so it is only suspected if
         # the whole call failed.
         if failures <= SERVER_FAILURES:
-            if not self._hangs_on_inputs(server, batch, failures):
+            if not self._may_block_on_inputs(server, batch, failures):
                 server.suspect()
             self._log_call("Batch call failed.", server, batch, outcomes, took_s)
             return
         server.record_success(took_s)
         if ItemFailure.NO_ROOM in failures:
-            self._note_full(use)
+            self._on_full(use)
             self._log_call(
                 "Server has no memory for results.", server, batch, outcomes, took_s
             )
@@ -197,7 +200,7 @@
         here = now + call_s * self.use(server).slowness(now)
         return here <= elsewhere + rounds * call_s
 
-    def _note_full(self, use: ServerUse) -> None:
+    def _on_full(self, use: ServerUse) -> None:
         """Treat a server as full for a moment, and assume larger results.
 
         The assumed size stays the same if this node has used the server for less than
@@ -207,10 +210,10 @@
         now = _now()
         if now - use.known_since > self._limits().result_life_s:
             self._size_factor = min(MAX_SIZE_FACTOR, self._size_factor * SIZE_GROWTH)
-        rest = self._limits().memory_bytes - use.held_bytes(now)
-        use.hold(UNKNOWN_RESULTS, int(rest), now + UNKNOWN_RESULTS_S)
+        remaining = self._limits().memory_bytes - use.held_bytes(now)
+        use.hold(UNKNOWN_RESULTS, int(remaining), now + UNKNOWN_RESULTS_S)
 
-    def _note_silent(self, server: Backend, batch: list[BatchItem]) -> None:
+    def _on_timeout(self, server: Backend, batch: list[BatchItem]) -> None:
         """Report the data centres that may be unreachable after a call timed out.
 
         The server may be unreachable from this node, or the servers that hold the
@@ -218,26 +221,28 @@
         """
         for item in batch:
             item.isolated = True
-            for place in self._places(item) - {server.entry.data_centre}:
-                self._reach.record_timeout(place, item.inputs[0])
+            for data_centre in self._input_data_centres(item) - {
+                server.entry.data_centre
+            }:
+                self._reach.record_timeout(data_centre, item.inputs[0])
         self._reach.record_timeout(server.entry.data_centre, server.entry.id)
 
-    def _hangs_on_inputs(
+    def _may_block_on_inputs(
         self, server: Backend, batch: list[BatchItem], failures: set[ItemFailure | None]
     ) -> bool:
         """Return whether a call may have timed out on inputs of other data centres."""
         own = {server.entry.data_centre}
-        foreign = any(self._places(item) - own for item in batch)
-        return foreign and ItemFailure.TIMED_OUT in failures
+        remote = any(self._input_data_centres(item) - own for item in batch)
+        return remote and ItemFailure.TIMED_OUT in failures
 
-    def _places(self, item: BatchItem) -> set[str]:
+    def _input_data_centres(self, item: BatchItem) -> set[str]:
         """Return the data centres that hold the inputs of an item."""
         return {self._data_centre_of(handle) for handle in item.inputs}
 
-    def _forget_gone(self) -> None:
+    def _drop_unlisted(self) -> None:
         """Drop the entries of servers that are no longer listed."""
         listed = {server.entry.incarnation for server in self._listed()}
-        if len(self._use_by_incarnation) > MAX_KEPT_FACTOR * len(listed):
+        if len(self._use_by_incarnation) > MAX_REMEMBERED_FACTOR * len(listed):
             for incarnation in self._use_by_incarnation.keys() - listed:
                 del self._use_by_incarnation[incarnation]
 
--- a/packages/node/src/eelgrass_node/process/result_release.py
+++ b/packages/node/src/eelgrass_node/process/result_release.py
@@ -22,7 +22,7 @@
 __all__ = ["ResultReleaser", "ResultsClient"]
 
 # How long to wait for the queue owner before the results are freed without it.
-OWNER_ANSWERS_S = 0.15
+OWNER_TIMEOUT_S = 0.15
 
 
 class ResultsClient(Protocol):
@@ -33,7 +33,7 @@
         address: str,
         service: ServiceName,
         handles: list[str],
-        within_s: float,
+        timeout_s: float,
     ) -> None:
         """Have results freed there; raises :class:`PeerUnreachable`."""
 
@@ -50,15 +50,15 @@
         owners: QueueOwners,
         local: LocalQueues,
         client: ResultsClient,
-        known: Callable[[NodeId], Member | None],
-        note_silent: Callable[[Member], None],
+        find_member: Callable[[NodeId], Member | None],
+        on_silent: Callable[[Member], None],
         count: Callable[[str], None],
     ) -> None:
         self._owners = owners
         self._local = local
         self._client = client
-        self._known = known
-        self._note_silent = note_silent
+        self._find_member = find_member
+        self._on_silent = on_silent
         self._count = count
         self._tasks: set[asyncio.Task] = set()
 
@@ -66,12 +66,12 @@
         self, service: ServiceName, handles: list[str], owner: NodeId | None
     ) -> None:
         """Free results; ``owner`` is the other node whose queue accounts for them."""
-        member = None if owner is None else self._known(owner)
+        member = None if owner is None else self._find_member(owner)
         # An owner that leaves still accounts for results until its queue is empty.
         if member is None or member.state is MemberState.DEAD:
             self._local.free(service, handles)
         else:
-            self._keep(self._free_through(member, service, handles))
+            self._run_in_background(self._free_through(member, service, handles))
 
     async def _free_through(
         self, owner: Member, service: ServiceName, handles: list[str]
@@ -81,16 +81,16 @@
         If it does not answer in time, the results are freed here. The call goes on for
         the lifetime of the results, because a stalled owner still has to learn of it.
         """
-        within_s = max(OWNER_ANSWERS_S, self._local.result_life_s(service))
-        telling = asyncio.ensure_future(
-            self._client.free(owner.internal, service, handles, within_s)
+        timeout_s = max(OWNER_TIMEOUT_S, self._local.result_life_s(service))
+        call = asyncio.ensure_future(
+            self._client.free(owner.internal, service, handles, timeout_s)
         )
         try:
-            answered = await stall_aware_wait(telling, OWNER_ANSWERS_S)
-            if not answered or telling.exception() is not None:
+            answered = await stall_aware_wait(call, OWNER_TIMEOUT_S)
+            if not answered or call.exception() is not None:
                 self._local.free(service, handles)
-                self._note_silent(owner)
-            await telling
+                self._on_silent(owner)
+            await call
             self._owners.on_answer(owner)
         except PeerUnreachable as error:
             self._count("handoff.failed")
@@ -104,9 +104,9 @@
                 error=str(error),
             )
         finally:
-            telling.cancel()
+            call.cancel()
 
-    def _keep(self, work: Coroutine[None, None, None]) -> None:
+    def _run_in_background(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/packages/node/src/eelgrass_node/process/shared_queues.py
+++ b/packages/node/src/eelgrass_node/process/shared_queues.py
@@ -49,7 +49,7 @@
         local: LocalQueues,
         handoff: Handoff,
         on_load: Callable[[ServiceName, QueueLoad], None],
-        known: Callable[[NodeId], Member | None],
+        find_member: Callable[[NodeId], Member | None],
         probe: Callable[[Member], None],
         count: Callable[[str], None],
     ) -> None:
@@ -60,7 +60,7 @@
         self._count = count
         self.checks = OwnerChecks(owners, probe)
         self.results = ResultReleaser(
-            owners, local, handoff, known, self._note_silent, count
+            owners, local, handoff, find_member, self._on_silent, count
         )
 
     async def run(
@@ -73,18 +73,18 @@
             try:
                 outcomes = await self._handoff.run(owner.internal, service, items)
                 self._owners.on_answer(owner)
-                return [_held_by(owner, outcome) for outcome in outcomes]
+                return [_with_owner(owner, outcome) for outcome in outcomes]
             except PeerUnreachable as error:
-                self._note_failure(owner, service, error)
+                self._on_failure(owner, service, error)
         outcomes = await self._local.run(service, items)
         self._on_load(service, self._local.load(service))
         return outcomes
 
-    def _note_failure(
+    def _on_failure(
         self, owner: Member, service: ServiceName, error: PeerUnreachable
     ) -> None:
         if error.silent:
-            self._note_silent(owner)
+            self._on_silent(owner)
         else:
             self._owners.on_failure(owner)
         self._count("handoff.failed")
@@ -96,12 +96,12 @@
             error=str(error),
         )
 
-    def _note_silent(self, owner: Member) -> None:
+    def _on_silent(self, owner: Member) -> None:
         self._owners.on_failure(owner)
         self.checks.check(owner)
 
 
-def _held_by(owner: Member, outcome: ItemOutcome) -> ItemOutcome:
+def _with_owner(owner: Member, outcome: ItemOutcome) -> ItemOutcome:
     """Return the outcome with the owner whose queue accounts for its result."""
     if outcome.handle is None:
         return outcome
--- a/packages/node/tests/test_account_shares.py
+++ b/packages/node/tests/test_account_shares.py
@@ -7,8 +7,8 @@
 import pytest
 
 from eelgrass_node.process.account_shares import (
-    FADE_S,
-    SHORT_FROM,
+    DECAY_S,
+    SHORTAGE_RATIO,
     AccountShares,
     fair_level,
 )
@@ -28,7 +28,7 @@
     memory_bytes=45e6,
     result_life_s=4.0,
 )
-DUE_S = 1.3
+TARGET_S = 1.3
 SERVERS = 6
 # The capacity of all servers in sets of two per second, if calls are full.
 SETS_PER_S = SERVERS * 4 / (LIMITS.call_s + 8 * LIMITS.item_s)
@@ -72,22 +72,22 @@
         sent = items(
             f"{account}/{number}",
             2,
-            DUE_S,
+            TARGET_S,
             priority=0 if account in self._urgent else 1,
             deadline_s=5.0,
             account=account,
         )
         self.asked[account] = self.asked.get(account, 0) + 1
-        begun = now()
+        started_at = now()
         outcomes = await self.service.queue.run(sent)
         if all(outcome.handle for outcome in outcomes):
             self.served[account] = self.served.get(account, 0) + 1
             self.on_time[account] = self.on_time.get(account, 0) + (
-                now() - begun <= DUE_S
+                now() - started_at <= TARGET_S
             )
 
 
-def played(sets_per_s_by_account, **options):
+def run_load(sets_per_s_by_account, **options):
     """Run a load in simulated time."""
 
     async def main():
@@ -106,23 +106,23 @@
     """
 
     def test_the_other_accounts_are_served_as_without_the_flood(self):
-        alone = played(USUAL).share(QUIET)
-        beside = played(USUAL | FLOOD).share(QUIET)
+        alone = run_load(USUAL).share(QUIET)
+        beside = run_load(USUAL | FLOOD).share(QUIET)
         assert alone == 1.0
         assert beside >= alone - 0.02
 
     def test_the_flood_gets_the_capacity_that_is_left(self):
-        load = played(USUAL | FLOOD)
+        load = run_load(USUAL | FLOOD)
         # The others use a fifth, and calls at the end of the run are not full.
         assert load.served["flood"] / LENGTH_S >= 0.9 * 0.8 * SETS_PER_S
 
     def test_an_urgent_flood_does_not_displace_less_urgent_accounts(self):
-        assert played(USUAL | FLOOD, urgent=["flood"]).share(QUIET) >= 0.98
+        assert run_load(USUAL | FLOOD, urgent=["flood"]).share(QUIET) >= 0.98
 
     def test_of_two_floods_neither_is_starved(self):
         """Each gets at least half of an equal part; items on time still go first."""
         floods = {"flood-a": SETS_PER_S * 3, "flood-b": SETS_PER_S * 1.5}
-        load = played(USUAL | floods)
+        load = run_load(USUAL | floods)
         assert load.share(QUIET) >= 0.98
         equal = 0.8 * SETS_PER_S * LENGTH_S / 2
         assert min(load.served[name] for name in floods) >= equal / 2
@@ -185,7 +185,7 @@
 
 class TestSufficientCapacity:
     def test_an_account_with_most_of_the_load_is_not_limited(self):
-        load = played(USUAL | {"large": SETS_PER_S * 0.55})
+        load = run_load(USUAL | {"large": SETS_PER_S * 0.55})
         assert load.share(["large"]) == load.share(QUIET) == 1.0
 
     def test_a_single_account_is_not_limited(self):
@@ -204,13 +204,13 @@
         assert fair_level([1.0, 2.0, 10.0], 9.0) == 6.0
         assert fair_level([4.0, 4.0, 4.0], 6.0) == 2.0
         assert math.isinf(fair_level([1.0, 2.0], 3.0))
-        assert math.isinf(fair_level([1.0, 2.0 * SHORT_FROM], 3.0))
+        assert math.isinf(fair_level([1.0, 2.0 * SHORTAGE_RATIO], 3.0))
 
     @pytest.mark.parametrize("call_s", [0.1, 1.0, 10.0])
     def test_shares_adapt_to_servers_of_any_speed(self, call_s):
         """After two time constants, however long a call takes."""
         demand = Demand(call_s)
-        demand.ask({"quiet": 0.05, "flood": 2.0}, for_s=2 * FADE_S)
+        demand.ask({"quiet": 0.05, "flood": 2.0}, for_s=2 * DECAY_S)
         assert demand.over_share() == {"flood"}
 
     async def test_shares_recover_after_hours_of_failed_calls(self):
@@ -229,7 +229,7 @@
     def test_a_flood_that_has_ended_is_forgotten(self):
         demand = Demand()
         demand.ask({"quiet": 0.05, "flood": 2.0}, for_s=4.0)
-        demand.ask({"quiet": 0.05}, for_s=4 * FADE_S)
+        demand.ask({"quiet": 0.05}, for_s=4 * DECAY_S)
         assert demand.shares.over_share_accounts == frozenset()
         demand.ask({"quiet": 0.05, "flood": 0.2}, for_s=0.2)
         assert demand.over_share() == set()
--- a/packages/node/tests/test_batch_handoff.py
+++ b/packages/node/tests/test_batch_handoff.py
@@ -7,8 +7,8 @@
 from aiohttp import web
 
 from eelgrass_node.connection.batch_handoff import (
-    ACCEPT_S,
-    SILENCE_S,
+    ACCEPT_TIMEOUT_S,
+    HEARTBEAT_TIMEOUT_S,
     HandoffClient,
     HandoffInterface,
 )
@@ -35,7 +35,7 @@
     """A queue owner with a scripted answer, as a context manager."""
 
     def __init__(self, handle=None, run=None, has_servers=True):
-        self.heard = []
+        self.loads = []
         self.freed = []
         self._handle = handle
         self._run = run
@@ -44,7 +44,7 @@
     async def __aenter__(self):
         self._served = served(self._add_routes, handler_cancellation=True)
         self.address = await self._served.__aenter__()
-        self.client = HandoffClient(lambda *load: self.heard.append(load))
+        self.client = HandoffClient(lambda *load: self.loads.append(load))
         return self
 
     async def __aexit__(self, *exc):
@@ -63,27 +63,27 @@
         )
         interface.add_routes(app)
 
-    async def hand_over(self):
+    async def hand_off(self):
         return await self.client.run(self.address, SERVICE, [item()])
 
 
-async def made(service, items):
+async def run_all(service, items):
     return [ItemOutcome(handle=f"a:1/{p.number}") for p in items]
 
 
 class TestHandoff:
     async def test_outcomes_and_load_are_returned(self):
-        async with Owner(run=made) as owner:
-            assert await owner.hand_over() == [ItemOutcome(handle="a:1/0")]
-            assert owner.heard == [(SERVICE, QueueLoad(((0, 0.5),), 0.25))]
+        async with Owner(run=run_all) as owner:
+            assert await owner.hand_off() == [ItemOutcome(handle="a:1/0")]
+            assert owner.loads == [(SERVICE, QueueLoad(((0, 0.5),), 0.25))]
 
     async def test_an_owner_that_sends_heartbeats_does_not_time_out(self):
         async def slowly(service, items):
-            await asyncio.sleep(SILENCE_S * 1.5)
-            return await made(service, items)
+            await asyncio.sleep(HEARTBEAT_TIMEOUT_S * 1.5)
+            return await run_all(service, items)
 
         async with Owner(run=slowly) as owner:
-            assert await owner.hand_over() == [ItemOutcome(handle="a:1/0")]
+            assert await owner.hand_off() == [ItemOutcome(handle="a:1/0")]
 
     async def test_a_caller_that_is_cancelled_withdraws_its_items(self):
         withdrawn = asyncio.Event()
@@ -96,7 +96,7 @@
                 raise
 
         async with Owner(run=wait) as owner:
-            call = asyncio.create_task(owner.hand_over())
+            call = asyncio.create_task(owner.hand_off())
             await asyncio.sleep(0.1)
             call.cancel()
             async with asyncio.timeout(1):
@@ -113,9 +113,9 @@
             await write(response, data)
 
         monkeypatch.setattr(web.StreamResponse, "write", lose_outcomes)
-        async with Owner(run=made) as owner:
+        async with Owner(run=run_all) as owner:
             with pytest.raises(PeerUnreachable):
-                await owner.hand_over()
+                await owner.hand_off()
             assert owner.freed == ["a:1/0"]
 
 
@@ -123,7 +123,7 @@
     async def fails_within(self, owner, seconds):
         began = now()
         with pytest.raises(PeerUnreachable):
-            await owner.hand_over()
+            await owner.hand_off()
         assert now() - began < seconds + SLACK_S
 
     async def test_an_owner_that_never_accepts(self):
@@ -131,7 +131,7 @@
             await asyncio.sleep(5)
 
         async with Owner(handle=hang) as owner:
-            await self.fails_within(owner, ACCEPT_S)
+            await self.fails_within(owner, ACCEPT_TIMEOUT_S)
 
     async def test_an_owner_that_freezes_after_it_has_accepted(self):
         async def freeze(request):
@@ -142,7 +142,7 @@
             return response
 
         async with Owner(handle=freeze) as owner:
-            await self.fails_within(owner, ACCEPT_S + SILENCE_S)
+            await self.fails_within(owner, ACCEPT_TIMEOUT_S + HEARTBEAT_TIMEOUT_S)
 
     async def test_an_owner_that_is_killed_while_items_run(self):
         async def die(request):
@@ -153,11 +153,11 @@
             return response
 
         async with Owner(handle=die) as owner:
-            await self.fails_within(owner, ACCEPT_S)
+            await self.fails_within(owner, ACCEPT_TIMEOUT_S)
 
     async def test_an_owner_that_knows_no_server_of_the_service(self):
-        async with Owner(run=made, has_servers=False) as owner:
-            await self.fails_within(owner, ACCEPT_S)
+        async with Owner(run=run_all, has_servers=False) as owner:
+            await self.fails_within(owner, ACCEPT_TIMEOUT_S)
 
     @pytest.mark.parametrize(
         "answer", [b"nonsense\n", b'{"outcomes": [], "load": []}\n', b""]
@@ -168,9 +168,9 @@
             return web.Response(body=b"\n" + answer)
 
         async with Owner(handle=garble) as owner:
-            await self.fails_within(owner, ACCEPT_S)
+            await self.fails_within(owner, ACCEPT_TIMEOUT_S)
 
     async def test_an_owner_that_is_gone(self):
-        async with Owner(run=made) as owner:
+        async with Owner(run=run_all) as owner:
             [owner.address] = free_addresses(1)
-            await self.fails_within(owner, ACCEPT_S)
+            await self.fails_within(owner, ACCEPT_TIMEOUT_S)
--- a/packages/node/tests/test_batch_queue.py
+++ b/packages/node/tests/test_batch_queue.py
@@ -14,7 +14,7 @@
 from support.simulated_time import run_in_simulated_time
 
 
-def all_of(failure, given):
+def all_failed(failure, given):
     return [ItemOutcome(failure=failure)] * len(given)
 
 
@@ -133,7 +133,7 @@
     async def test_a_failed_call_is_retried_at_another_server(self):
         async def fail_s1(backend, given):
             if backend.entry.id == "s1":
-                return all_of(ItemFailure.UNREACHABLE, given)
+                return all_failed(ItemFailure.UNREACHABLE, given)
             return None
 
         service = Service(server("s1"), server("s2"), behave=fail_s1)
@@ -144,7 +144,7 @@
 
     async def test_nothing_is_retried_without_retry_budget(self):
         async def fail(backend, given):
-            return all_of(ItemFailure.FAILED, given)
+            return all_failed(ItemFailure.FAILED, given)
 
         service = Service(server("s1"), behave=fail, may_retry=False)
         [outcome] = await service.queue.run(items("r"))
@@ -216,11 +216,13 @@
 
 
 class TestPreferredDataCentre:
-    @pytest.mark.parametrize("place", ["a", "b"])
-    async def test_an_item_runs_where_its_result_is_fetched(self, place):
+    @pytest.mark.parametrize("data_centre", ["a", "b"])
+    async def test_an_item_runs_where_its_result_is_fetched(self, data_centre):
         service = Service(server("s1", "a"), server("s2", "b"))
-        await service.queue.run(items("r", preferred_data_centre=place, size=LARGE))
-        used = {"a": "s1", "b": "s2"}[place]
+        await service.queue.run(
+            items("r", preferred_data_centre=data_centre, size=LARGE)
+        )
+        used = {"a": "s1", "b": "s2"}[data_centre]
         assert [call[0] for call in service.calls] == [used]
 
     @pytest.mark.parametrize("in_s", [0.03, 0.0])
@@ -238,12 +240,12 @@
             for n in "bab"
         ]
         await asyncio.gather(*runs)
-        places = {
+        server_by_data_centre = {
             p.preferred_data_centre: name
             for name, given in service.calls
             for p in given
         }
-        assert places == {"a": "s1", "b": "s2"}
+        assert server_by_data_centre == {"a": "s1", "b": "s2"}
 
     async def test_an_item_waits_for_a_busy_preferred_server_if_it_has_time(self):
         full_call_s = LIMITS.call_s + LIMITS.item_s * LIMITS.batch
--- a/packages/node/tests/test_overload.py
+++ b/packages/node/tests/test_overload.py
@@ -5,8 +5,8 @@
 import pytest
 
 from eelgrass_node.process.batch_items import ItemFailure
-from eelgrass_node.process.overload import CALM_S, Overload
-from eelgrass_node.process.queue_load import FADE_S, QueueLoad, QueueLoads
+from eelgrass_node.process.overload import QUIET_PERIOD_S, Overload
+from eelgrass_node.process.queue_load import MAX_AGE_S, QueueLoad, QueueLoads
 from eelgrass_node.request.planning import infeasible_retry_after_s
 from eelgrass_node.version.deployment import ServiceName
 from support.batching import Service, deployment, items, routed, server
@@ -23,7 +23,7 @@
         overload = Overload()
         overload.record_refusal(10.0)
         overload.record_refusal(10.9)
-        assert overload.duration_s(10.9 + CALM_S + 0.1) == 0.0
+        assert overload.duration_s(10.9 + QUIET_PERIOD_S + 0.1) == 0.0
         overload.record_refusal(20.0)
         assert overload.duration_s(20.5) == 0.5
 
@@ -70,5 +70,5 @@
         # The wait at the queue makes the request late by about 7 s, but the overload
         # has lasted for 8 s.
         assert infeasible_retry_after_s(routed(), deployment(), loads, 0.35) == 8.0
-        now[0] = FADE_S
+        now[0] = MAX_AGE_S
         assert loads.overload_s([ServiceName("archive")]) == 0.0
--- a/packages/node/tests/test_planning.py
+++ b/packages/node/tests/test_planning.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from eelgrass_node.process.queue_load import FADE_S, QueueLoad, QueueLoads
+from eelgrass_node.process.queue_load import MAX_AGE_S, QueueLoad, QueueLoads
 from eelgrass_node.request.final_call_latency import UNKNOWN_S, FinalCallLatency
 from eelgrass_node.request.planning import (
     GIVE_UP_FRACTION,
@@ -180,5 +180,5 @@
         clock = Clock()
         loads = QueueLoads(clock)
         loads.receive(ARCHIVE, QueueLoad(((1, 3.0),), 3.0))
-        clock.now = FADE_S
+        clock.now = MAX_AGE_S
         assert loads.wait_s(ARCHIVE, 1) == 0.0
--- a/packages/node/tests/test_server_lives.py
+++ b/packages/node/tests/test_server_lives.py
@@ -191,5 +191,7 @@
         from eelgrass_node.connection import batch_handoff
 
         item = BatchItem("r", 1, 0, None, ("s1/0",), 2.0, 1.0, 0, 8, producers=(FIRST,))
-        [received] = batch_handoff._received(batch_handoff._sent([item], 0.0), 0.0)
+        [received] = batch_handoff._decode_set(
+            batch_handoff._encode_set([item], 0.0), 0.0
+        )
         assert received.producers == (FIRST,)
--- a/tests/support/batching.py
+++ b/tests/support/batching.py
@@ -87,7 +87,7 @@
             self.freed.extend,
         )
 
-    async def _run(self, backend, items, within_s):
+    async def _run(self, backend, items, timeout_s):
         self.calls.append((backend.entry.id, items))
         if self._behave is not None:
             outcomes = await self._behave(backend, items)
