--- a/packages/node/src/eelgrass_node/connection/batch_handoff.py
+++ b/packages/node/src/eelgrass_node/connection/batch_handoff.py
@@ -1,8 +1,8 @@
-"""Hands pieces to the node that holds the queue of their service.
+"""Hands batch items to the node that holds the queue of their service.
 
-The owner says at once that it has taken them, then at short intervals that it
-lives, and at the end what became of them. A node that hears nothing for a short
-while takes the owner for dead, frozen or cut off, and goes on without it.
+The queue owner accepts the items at once, then sends heartbeats at short intervals, and
+finally the outcomes. A node that receives nothing for a short time treats the owner as
+dead, frozen or partitioned off, and continues without it.
 """
 
 import asyncio
@@ -26,25 +26,25 @@
 
 ITEMS_PATH = "/peer/v1/pieces"
 FREE_PATH = "/peer/v1/results/free"
-CONNECT_S = 0.15
-# Two ways between data centres take 3 ms, and a busy node some 10 ms more.
-ACCEPT_S = 0.15
-# While pieces wait or run, the owner says that it lives this often; a node that
-# misses two of these does not wait any longer.
-BEAT_S = 0.3
-SILENCE_S = 0.75
+CONNECT_TIMEOUT_S = 0.15
+# A round trip between data centres takes 3 ms, and a busy node adds about 10 ms.
+ACCEPT_TIMEOUT_S = 0.15
+# How often the owner sends a heartbeat while items wait or run. A node that misses two
+# of them stops waiting.
+HEARTBEAT_INTERVAL_S = 0.3
+HEARTBEAT_TIMEOUT_S = 0.75
 KEEP_ALIVE_S = 60.0
-BEAT = b"\n"
+HEARTBEAT = b"\n"
 UNKNOWN_SERVICE = 503
 
 RunItems = Callable[[ServiceName, list[BatchItem]], Awaitable[list[ItemOutcome]]]
 
 
 class _SentSet(msgspec.Struct, omit_defaults=True):
-    """The pieces of one stage of a request; times are what is left, in seconds.
+    """The items of one stage of a request; times are remaining seconds.
 
-    They differ in their numbers alone. Their common inputs are most of what is
-    sent, and links are of 5 Mbit/s on the grown sheets.
+    The items differ only in their numbers, so the rest is sent once: their common
+    inputs are most of the message, and the slowest links have 5 Mbit/s.
     """
 
     request_id: str
@@ -79,38 +79,40 @@
 
 
 class HandoffClient:
-    """Hands pieces to other nodes, at their internal addresses.
+    """Hands items to other nodes, at their internal addresses.
 
-    ``hear_load`` is told the load of a queue with each answer of its owner.
+    ``on_load`` receives the load of a queue with each answer of its owner.
     """
 
     def __init__(self, on_load: Callable[[ServiceName, QueueLoad], None]) -> None:
         self._on_load = on_load
-        self._session = new_session(KEEP_ALIVE_S, CONNECT_S)
+        self._session = new_session(KEEP_ALIVE_S, CONNECT_TIMEOUT_S)
 
     async def run(
         self, address: str, service: ServiceName, items: list[BatchItem]
     ) -> list[ItemOutcome]:
-        """Have pieces of one stage of a request run by another node.
+        """Have items of one stage of a request run by another node.
 
         Raises :class:`PeerUnreachable`.
         """
         now = asyncio.get_running_loop().time()
-        body = msgspec.json.encode(_Handoff(service, _sent(items, now)))
+        body = msgspec.json.encode(_Handoff(service, _encode_set(items, now)))
         try:
-            async with StallAwareTimeout(ACCEPT_S) as bound:
+            async with StallAwareTimeout(ACCEPT_TIMEOUT_S) as bound:
                 async with self._session.post(
                     f"http://{address}{ITEMS_PATH}", data=body, allow_redirects=False
                 ) as response:
-                    line = BEAT
-                    while line == BEAT:
+                    line = HEARTBEAT
+                    while line == HEARTBEAT:
                         line = await response.content.readline()
-                        bound.restart(SILENCE_S)
+                        bound.restart(HEARTBEAT_TIMEOUT_S)
             done = msgspec.json.decode(line, type=_Done)
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError) as e:
             raise _unreachable(address, e) from e
         if len(done.outcomes) != len(items):
-            raise PeerUnreachable(address, "outcomes do not fit the pieces")
+            raise PeerUnreachable(
+                address, "the number of outcomes differs from the number of items"
+            )
         self._on_load(service, done.load)
         return done.outcomes
 
@@ -119,13 +121,13 @@
         address: str,
         service: ServiceName,
         handles: list[str],
-        within_s: float,
+        timeout_s: float,
     ) -> None:
         """Have results freed by another node; raises :class:`PeerUnreachable`."""
         body = msgspec.json.encode(_FreeResults(service, handles))
         try:
             async with (
-                StallAwareTimeout(within_s),
+                StallAwareTimeout(timeout_s),
                 self._session.post(
                     f"http://{address}{FREE_PATH}", data=body, allow_redirects=False
                 ) as response,
@@ -140,10 +142,10 @@
 
 
 class HandoffInterface:
-    """Takes pieces from other nodes, for the queues of this one.
+    """Accepts items from other nodes, for the queues of this node.
 
-    ``knows`` tells whether this node has servers of a service; one that has
-    none is no owner of its queue.
+    ``has_servers`` returns whether this node knows servers of a service. A node that
+    knows none refuses the items, as it cannot own the queue.
     """
 
     def __init__(
@@ -160,10 +162,10 @@
         self._decoder = msgspec.json.Decoder(_Handoff)
 
     async def handle_items(self, request: web.Request) -> web.StreamResponse:
-        """Answer ``POST /peer/v1/pieces``: beats, then the outcomes."""
+        """Answer ``POST /peer/v1/pieces`` with heartbeats, then the outcomes."""
         handoff = self._decoder.decode(await request.read())
         now = asyncio.get_running_loop().time()
-        items = _received(handoff.pieces, now)
+        items = _decode_set(handoff.pieces, now)
         if not self._has_servers(handoff.service):
             return web.Response(status=UNKNOWN_SERVICE)
         response = web.StreamResponse()
@@ -171,20 +173,20 @@
         running = asyncio.ensure_future(self._run(handoff.service, items))
         try:
             while not running.done():
-                await response.write(BEAT)
-                await asyncio.wait({running}, timeout=BEAT_S)
+                await response.write(HEARTBEAT)
+                await asyncio.wait({running}, timeout=HEARTBEAT_INTERVAL_S)
             done = _Done(running.result(), self._load(handoff.service))
             await response.write(msgspec.json.encode(done) + b"\n")
             await response.write_eof()
         except BaseException:
-            self._give_up(handoff.service, running)
+            self._abandon(handoff.service, running)
             raise
         return response
 
-    def _give_up(
+    def _abandon(
         self, service: ServiceName, running: asyncio.Future[list[ItemOutcome]]
     ) -> None:
-        """End a run whose node has gone, or free the results that it did not get."""
+        """Cancel the run of a caller that is gone, or free the undelivered results."""
         if not running.done():
             running.cancel()
         elif not running.cancelled() and running.exception() is None:
@@ -198,7 +200,7 @@
         return web.Response()
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the routes for other nodes."""
+        """Add the routes that other nodes call."""
         app.router.add_post(ITEMS_PATH, self.handle_items)
         app.router.add_post(FREE_PATH, self.handle_free)
 
@@ -208,7 +210,7 @@
     return PeerUnreachable(address, repr(error), silent)
 
 
-def _sent(items: list[BatchItem], now: float) -> _SentSet:
+def _encode_set(items: list[BatchItem], now: float) -> _SentSet:
     first = items[0]
     return _SentSet(
         request_id=first.request_id,
@@ -228,7 +230,7 @@
     )
 
 
-def _received(sent: _SentSet, now: float) -> list[BatchItem]:
+def _decode_set(sent: _SentSet, now: float) -> list[BatchItem]:
     return [
         BatchItem(
             request_id=sent.request_id,
--- a/packages/node/src/eelgrass_node/process/cost_store.py
+++ b/packages/node/src/eelgrass_node/process/cost_store.py
@@ -1,8 +1,8 @@
-"""Keeps the costs of this process in the platform's object store.
+"""Stores the costs of this process in the platform's object store.
 
-One object per process holds its sums so far and is replaced as a whole, so a
-repeated or lost write does no harm. A row of the table service names the
-object, which is how the costs of all processes are found.
+One object per process holds its sums so far. Each write replaces it completely, so a
+repeated or lost write is harmless. A row of the table service names each object, so
+that the costs of all processes can be found.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
 __all__ = ["CostStore"]
 
 COST_OBJECTS = "cost_objects"
-PAGE = 500
+PAGE_ROWS = 500
 
 
 class CostStore:
-    """Writes this process's costs at an interval, and reads those of all."""
+    """Writes this process's costs periodically, and reads those of all processes."""
 
     def __init__(
         self,
@@ -43,28 +43,28 @@
         self._ledger = ledger
         self._table = table
         self._objects = objects
-        self._name = f"costs/{node}/{incarnation}.json"
+        self._object_name = f"costs/{node}/{incarnation}.json"
         self._interval_s = interval_s
-        self._named = False
+        self._is_registered = False
         self._stored = b""
 
     async def run(self) -> None:
-        """Store at the interval until cancelled."""
+        """Store the costs periodically until cancelled."""
         while True:
             await asyncio.sleep(self._interval_s)
             await self.store()
 
     async def store(self) -> bool:
-        """Store the sums if they changed; returns whether they are stored."""
+        """Store the sums if they changed; return whether they are stored."""
         body = msgspec.json.encode(self._ledger.rows())
         if body in (self._stored, b"[]"):
             return True
         try:
-            await self._objects.put(self._name, body)
-            if not self._named:
-                await self._name_object()
+            await self._objects.put(self._object_name, body)
+            if not self._is_registered:
+                await self._register_object()
         except PlatformError as error:
-            log(Part.COSTS, "The costs could not be stored.", error=str(error))
+            log(Part.COSTS, "Could not store this process's costs.", error=str(error))
             return False
         self._stored = body
         return True
@@ -73,16 +73,16 @@
         """Return the sums over all processes whose costs are stored."""
         by_key: dict[CostKey, CostRow] = {}
         after = ""
-        while rows := await self._table.scan(COST_OBJECTS, after, PAGE):
+        while rows := await self._table.scan(COST_OBJECTS, after, PAGE_ROWS):
             for row in rows:
                 body = await self._objects.get(row.key)
                 add_up(by_key, msgspec.json.decode(body, type=list[CostRow]))
             after = rows[-1].key
         return sorted(by_key.values(), key=CostRow.order)
 
-    async def _name_object(self) -> None:
-        key = RowKey(COST_OBJECTS, self._name)
-        write = Write(key.table, key.key, {"object": self._name})
-        # Without a condition: a repeat writes the same.
+    async def _register_object(self) -> None:
+        key = RowKey(COST_OBJECTS, self._object_name)
+        write = Write(key.table, key.key, {"object": self._object_name})
+        # Unconditional: a repeated write has the same effect.
         await self._table.commit(Transaction((), (write,)))
-        self._named = True
+        self._is_registered = True
--- a/packages/node/src/eelgrass_node/process/result_release.py
+++ b/packages/node/src/eelgrass_node/process/result_release.py
@@ -1,9 +1,9 @@
-"""Frees results of stages through the queue that counts their memory.
+"""Frees results of stages through the queue that accounts for their memory.
 
-The pattern it answers: a node that owns a queue stands still for part of a second.
-Others pass it over and free results without it. A queue that does not hear of that
-takes its servers for full until the results would have expired, seconds later,
-and the pieces that wait there are late beside idle servers.
+If a queue owner stalls for part of a second, other nodes skip it and free results
+without it. An owner that is not told of that counts its servers as full until the
+results would have expired, seconds later, so that the items in its queue become late
+while servers are idle.
 """
 
 import asyncio
@@ -21,28 +21,28 @@
 
 __all__ = ["ResultReleaser", "ResultsClient"]
 
-# The owner of the queue is given this long; then the results are freed without it.
-OWNER_ANSWERS_S = 0.15
+# How long to wait for the queue owner before the results are freed without it.
+OWNER_TIMEOUT_S = 0.15
 
 
 class ResultsClient(Protocol):
-    """How results are freed by another node."""
+    """Asks other nodes to free results."""
 
     async def free(
         self,
         address: str,
         service: ServiceName,
         handles: list[str],
-        within_s: float,
+        timeout_s: float,
     ) -> None:
         """Have results freed there; raises :class:`PeerUnreachable`."""
 
 
 class ResultReleaser:
-    """Frees the results that this node's requests need no more.
+    """Frees the results that this node's requests no longer need.
 
-    ``known`` returns a node of which was heard. ``note_silent`` is told of owners that
-    do not answer at once, and ``count`` counts those that did not hear of it.
+    ``find_member`` returns the record of a member, ``on_silent`` is called for owners
+    that do not answer at once, and ``count`` counts owners that could not be told.
     """
 
     def __init__(
@@ -50,61 +50,63 @@
         owners: QueueOwners,
         local: LocalQueues,
         client: ResultsClient,
-        known: Callable[[NodeId], Member | None],
-        note_silent: Callable[[Member], None],
+        find_member: Callable[[NodeId], Member | None],
+        on_silent: Callable[[Member], None],
         count: Callable[[str], None],
     ) -> None:
         self._owners = owners
         self._local = local
         self._client = client
-        self._known = known
-        self._note_silent = note_silent
+        self._find_member = find_member
+        self._on_silent = on_silent
         self._count = count
         self._tasks: set[asyncio.Task] = set()
 
     def free(
         self, service: ServiceName, handles: list[str], owner: NodeId | None
     ) -> None:
-        """Free results; ``owner`` is the other node whose queue counts them."""
-        member = None if owner is None else self._known(owner)
-        # One that leaves still counts results while it serves what waits there.
+        """Free results; ``owner`` is the other node whose queue accounts for them."""
+        member = None if owner is None else self._find_member(owner)
+        # An owner that leaves still accounts for results until its queue is empty.
         if member is None or member.state is MemberState.DEAD:
             self._local.free(service, handles)
         else:
-            self._keep(self._free_through(member, service, handles))
+            self._run_in_background(self._free_through(member, service, handles))
 
     async def _free_through(
         self, owner: Member, service: ServiceName, handles: list[str]
     ) -> None:
-        """Have the owner of a queue free results.
+        """Have a queue owner free results.
 
-        One that stands still is still to hear of it, for as long as it counts them.
+        If it does not answer in time, the results are freed here. The call goes on for
+        the lifetime of the results, because a stalled owner still has to learn of it.
         """
-        within_s = max(OWNER_ANSWERS_S, self._local.result_life_s(service))
-        telling = asyncio.ensure_future(
-            self._client.free(owner.internal, service, handles, within_s)
+        timeout_s = max(OWNER_TIMEOUT_S, self._local.result_life_s(service))
+        call = asyncio.ensure_future(
+            self._client.free(owner.internal, service, handles, timeout_s)
         )
         try:
-            answered = await stall_aware_wait(telling, OWNER_ANSWERS_S)
-            if not answered or telling.exception() is not None:
+            answered = await stall_aware_wait(call, OWNER_TIMEOUT_S)
+            if not answered or call.exception() is not None:
                 self._local.free(service, handles)
-                self._note_silent(owner)
-            await telling
+                self._on_silent(owner)
+            await call
             self._owners.on_answer(owner)
         except PeerUnreachable as error:
             self._count("handoff.failed")
             log(
                 Part.PIECES,
-                "The owner of a queue did not hear of results that were freed.",
+                "Queue owner was not told of freed results; it counts their memory as "
+                "used until they expire.",
                 owner=owner.id,
                 service=service,
                 results=len(handles),
                 error=str(error),
             )
         finally:
-            telling.cancel()
+            call.cancel()
 
-    def _keep(self, work: Coroutine[None, None, None]) -> None:
+    def _run_in_background(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/packages/node/tests/test_planning.py
+++ b/packages/node/tests/test_planning.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from eelgrass_node.process.queue_load import FADE_S, QueueLoad, QueueLoads
+from eelgrass_node.process.queue_load import MAX_AGE_S, QueueLoad, QueueLoads
 from eelgrass_node.request.final_call_latency import (
     INITIAL_ESTIMATE_S,
     FinalCallLatency,
@@ -194,5 +194,5 @@
         clock = Clock()
         loads = QueueLoads(clock)
         loads.receive(ARCHIVE, QueueLoad(((1, 3.0),), 3.0))
-        clock.now = FADE_S
+        clock.now = MAX_AGE_S
         assert loads.wait_s(ARCHIVE, 1) == 0.0
