--- a/packages/coordination/src/eelgrass_coordination/bounded_call.py
+++ b/packages/coordination/src/eelgrass_coordination/bounded_call.py
@@ -1,4 +1,8 @@
-"""An HTTP call that is given up in silence, with the client library's gaps closed."""
+"""An HTTP call that ends when its response stops or is too slow.
+
+The timeouts count running time, and replace the client library's own, which can lose
+a cancellation.
+"""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -10,49 +14,50 @@
 
 __all__ = ["BoundedResponse", "bounded_call", "send_allowance_s"]
 
-# An answer that has begun may pause for so long: a lost packet comes again in half of
-# it. One that stops, with its sender frozen or cut off, is given up then.
-SILENCE_S = 0.4
-# An answer that comes more slowly is given up, too: others may have it sooner. It is
-# what each of a hundred answers gets that share a link of 5 Mbit/s.
+# Longest pause within a response body. A lost packet is retransmitted within half of
+# it; a longer pause means that the sender is frozen or disconnected.
+IDLE_TIMEOUT_S = 0.4
+# A response that arrives more slowly is given up as well, since another server may
+# deliver it sooner. A hundred responses that share a link of 5 Mbit/s get this each.
 MIN_RECEIVE_BYTES_PER_S = 6_000
-# A body goes out at least this fast while its receiver is well: the narrowest links
-# that are planned for carry twice as much, and share it with other calls.
+# Lowest rate at which a request body is sent while its receiver is healthy. The
+# narrowest links that are planned for carry twice as much, shared with other calls.
 MIN_SEND_BYTES_PER_S = 300_000
 
 
 def send_allowance_s(size: int) -> float:
-    """Return how long a body of ``size`` bytes may take to go out, in seconds.
+    """Return how long sending a body of ``size`` bytes may take, in seconds.
 
-    A wait for an answer is longer by this. Otherwise a body that grows with the
-    deployment would never arrive one day: the call would be made again for ever.
+    Timeouts for the start of a response are extended by it. With a fixed timeout, a
+    body that grows with the deployment would at some size never arrive in time, and
+    the call would be retried for ever.
 
-    Sizes are gone by, and not how much has been written, since the operating system
-    takes megabytes of a body before it sends the first of them.
+    The allowance depends on the size and not on the bytes written so far, because the
+    operating system buffers megabytes of a body before it sends the first of them.
     """
     return size / MIN_SEND_BYTES_PER_S
 
 
 class BoundedResponse:
-    """The answer to a call.
+    """The response to a call.
 
-    Once it has begun, a time of its own takes the place of ``bound``, which every part
-    that comes puts off. What an answer carries grows with the deployment, so that a
-    fixed time for all of it would be too short one day: each answer would be thrown
-    away half read, and asked for again for ever.
+    Once the response has started, ``timeout`` is restarted at every chunk. Responses
+    grow with the deployment, so a fixed timeout for the complete response would at
+    some size be too short: every response would be discarded half read, and the call
+    would be retried for ever.
     """
 
     def __init__(
-        self, response: aiohttp.ClientResponse, bound: StallAwareTimeout
+        self, response: aiohttp.ClientResponse, timeout: StallAwareTimeout
     ) -> None:
         self._response = response
-        self._bound = bound
-        self._began_at = running_time()
-        self._put_off()
+        self._timeout = timeout
+        self._started_at = running_time()
+        self._extend_timeout()
 
     @property
     def received(self) -> int:
-        """How many bytes of the body have come, compressed as they are on the way."""
+        """How many bytes of the body have been received, before decompression."""
         return self._response.content.total_raw_bytes
 
     @property
@@ -65,17 +70,22 @@
         self._response.raise_for_status()
 
     async def read(self) -> bytes:
-        """Return the whole body; the call ends with :class:`TimeoutError` otherwise."""
-        parts: list[bytes] = []
-        async for part in self._response.content.iter_any():
-            parts.append(part)
-            self._put_off()
-        return b"".join(parts)
+        """Return the complete body.
+
+        The call raises :class:`TimeoutError` if the body stops or is too slow.
+        """
+        chunks: list[bytes] = []
+        async for chunk in self._response.content.iter_any():
+            chunks.append(chunk)
+            self._extend_timeout()
+        return b"".join(chunks)
 
-    def _put_off(self) -> None:
-        """Let the call go on until it has been silent, or slow, for too long."""
-        slow_at = self._began_at + SILENCE_S + self.received / MIN_RECEIVE_BYTES_PER_S
-        self._bound.restart(min(SILENCE_S, slow_at - running_time()))
+    def _extend_timeout(self) -> None:
+        """Restart the timeout, to expire once the body is idle or slow for too long."""
+        too_slow_at = (
+            self._started_at + IDLE_TIMEOUT_S + self.received / MIN_RECEIVE_BYTES_PER_S
+        )
+        self._timeout.restart(min(IDLE_TIMEOUT_S, too_slow_at - running_time()))
 
 
 @asynccontextmanager
@@ -88,30 +98,31 @@
     data: bytes | None = None,
     **options: Any,
 ) -> AsyncIterator[BoundedResponse]:
-    """Make a call with the body ``data`` and give its answer, for ``async with``.
+    """Make a call with the body ``data`` and yield its response, for ``async with``.
 
-    The answer must begin ``within_s`` after the body has had time to go out, and the
-    connection come about ``connect_s`` (as long, if not given), in seconds; an answer
-    that has begun may take as long as it goes on coming. Otherwise
-    :class:`TimeoutError` is raised, which tells how much of the answer had come. No
-    redirect is followed: a 307 would send the body again. ``options`` go to the
-    session.
+    The connection must be established within ``connect_s`` seconds (default:
+    ``within_s``), and the response must start ``within_s`` seconds after the time that
+    :func:`send_allowance_s` grants for sending the body. A response that has started
+    may take as long as it keeps arriving. Otherwise :class:`TimeoutError` is raised,
+    with the number of bytes received. Redirects are not followed: a 307 would send the
+    body again. ``options`` are passed to the session.
 
-    The library's own timeout is not used: it loses a cancellation that comes together
-    with it, as after a suspension, and a stop would then never end.
+    The library's own timeout is not used: it loses a cancellation that coincides with
+    it, as may happen after the process was suspended, and stopping the process would
+    then never finish.
 
     Example::
 
-        async with bounded_call(session, "POST", url, 1.0, data=body) as answer:
-            body = await answer.read()
+        async with bounded_call(session, "POST", url, 1.0, data=body) as response:
+            body = await response.read()
     """
     timeout = aiohttp.ClientTimeout(total=None, sock_connect=connect_s or within_s)
-    begins_s = within_s + send_allowance_s(len(data or b""))
-    answer: BoundedResponse | None = None
-    bound = StallAwareTimeout(begins_s)
+    response_timeout_s = within_s + send_allowance_s(len(data or b""))
+    response: BoundedResponse | None = None
+    response_timeout = StallAwareTimeout(response_timeout_s)
     try:
         async with (
-            bound,
+            response_timeout,
             session.request(
                 method,
                 url,
@@ -119,20 +130,19 @@
                 timeout=timeout,
                 allow_redirects=False,
                 **options,
-            ) as response,
+            ) as raw_response,
         ):
-            answer = BoundedResponse(response, bound)
-            yield answer
+            response = BoundedResponse(raw_response, response_timeout)
+            yield response
     except TimeoutError as error:
-        if not bound.expired():
-            # It is the library's, of a connection that did not come about, or the
-            # caller's own.
+        if not response_timeout.expired():
+            # The library's connection timeout, or a timeout of the caller's block.
             raise
-        raise TimeoutError(_reason(answer, begins_s)) from error
+        raise TimeoutError(_timeout_reason(response, response_timeout_s)) from error
 
 
-def _reason(answer: BoundedResponse | None, begins_s: float) -> str:
-    """Return why a call was given up: a silent node differs from a slow link."""
-    if answer is None:
-        return f"no answer within {begins_s:.3g} s"
-    return f"an answer that stopped, or came too slowly, after {answer.received} bytes"
+def _timeout_reason(response: BoundedResponse | None, response_timeout_s: float) -> str:
+    """Return why a call was given up, to tell a silent peer from a slow link."""
+    if response is None:
+        return f"no response within {response_timeout_s:.3g} s"
+    return f"response stopped or was too slow after {response.received} bytes"
--- a/packages/coordination/src/eelgrass_coordination/running_time.py
+++ b/packages/coordination/src/eelgrass_coordination/running_time.py
@@ -1,12 +1,13 @@
-"""Waits that count only the time in which this process itself was running.
+"""Timeouts and waits that do not count the time in which this process was stalled.
 
-A process stands still when its host takes the processor away, or when one turn of
-its event loop takes long. A timer that falls due meanwhile fires as soon as it goes
-on, before an answer that came long ago has been read, and the process would take
-all that it waits for as silent. Waits that judge others therefore go by the time in
-which the event loop turned, and end a turn after their timer.
+A process stalls when its host takes the processor away, or when one iteration of its
+event loop takes long. A timer that expires during the stall fires as soon as the loop
+resumes, before the loop has read the answers that arrived meanwhile, so every peer
+that is waited for would look silent. Waits that decide whether another process has
+failed therefore count only the time in which the event loop ran, and end one loop
+iteration after their timer.
 
-Deadlines of callers go on while a process stands still, and are no case for this.
+A caller's deadline keeps running during a stall. Use :func:`deadline_timeout` for it.
 """
 
 import asyncio
@@ -14,148 +15,150 @@
 
 __all__ = [
     "StallAwareTimeout",
-    "stall_aware_sleep",
+    "deadline_timeout",
     "running_time",
+    "stall_aware_sleep",
     "stall_aware_wait",
-    "deadline_timeout",
 ]
 
-# How closely it is known how long the loop stood still.
+# Interval of the ticks that detect stalls, and so the precision of a stall's length.
 TICK_S = 0.05
 
 
-class _Stalls:
-    """How long an event loop has stood still, told from ticks that came late.
+class _StallMeter:
+    """Measures how long an event loop was stalled, from ticks that fire late.
 
-    It ticks only while something waits.
+    It ticks only while at least one wait is active.
     """
 
     def __init__(self) -> None:
-        self._stood_still_s = 0.0
-        self._waits = 0
-        self._due: float | None = None
+        self._stalled_s = 0.0
+        self._active_waits = 0
+        self._next_tick_at: float | None = None
 
     def begin_wait(self) -> None:
-        self._waits += 1
-        if self._due is None:
-            self._tick_later()
+        self._active_waits += 1
+        if self._next_tick_at is None:
+            self._schedule_tick()
 
     def end_wait(self) -> None:
-        self._waits -= 1
+        self._active_waits -= 1
 
     def running_time(self) -> float:
-        """Return the seconds in which the loop turned; only differences count."""
+        """Return the seconds in which the loop ran; only differences are meaningful."""
         now = asyncio.get_running_loop().time()
-        late_s = 0.0 if self._due is None else max(0.0, now - self._due)
-        return now - self._stood_still_s - late_s
+        late_s = (
+            0.0 if self._next_tick_at is None else max(0.0, now - self._next_tick_at)
+        )
+        return now - self._stalled_s - late_s
 
-    def _tick_later(self) -> None:
+    def _schedule_tick(self) -> None:
         loop = asyncio.get_running_loop()
-        self._due = loop.time() + TICK_S
-        loop.call_at(self._due, self._tick)
+        self._next_tick_at = loop.time() + TICK_S
+        loop.call_at(self._next_tick_at, self._tick)
 
     def _tick(self) -> None:
         now = asyncio.get_running_loop().time()
-        self._stood_still_s += max(0.0, now - self._due)
-        self._due = None
-        if self._waits:
-            self._tick_later()
+        self._stalled_s += max(0.0, now - self._next_tick_at)
+        self._next_tick_at = None
+        if self._active_waits:
+            self._schedule_tick()
 
 
-_stalls_by_loop: weakref.WeakKeyDictionary[asyncio.AbstractEventLoop, _Stalls] = (
+_meter_by_loop: weakref.WeakKeyDictionary[asyncio.AbstractEventLoop, _StallMeter] = (
     weakref.WeakKeyDictionary()
 )
 
 
-def _stalls() -> _Stalls:
-    """Return what is known of the running loop."""
+def _running_loop_meter() -> _StallMeter:
+    """Return the stall meter of the running loop, created at its first use."""
     loop = asyncio.get_running_loop()
-    found = _stalls_by_loop.get(loop)
-    if found is None:
-        found = _stalls_by_loop[loop] = _Stalls()
-    return found
+    meter = _meter_by_loop.get(loop)
+    if meter is None:
+        meter = _meter_by_loop[loop] = _StallMeter()
+    return meter
 
 
 def running_time() -> float:
-    """Return the seconds in which this process ran; only differences count.
+    """Return the seconds in which this process ran; only differences are meaningful.
 
-    A stall is known of only while something waits.
+    Stalls are detected only while at least one wait of this module is active.
     """
-    return _stalls().running_time()
+    return _running_loop_meter().running_time()
 
 
 class StallAwareTimeout:
-    """Raises :class:`TimeoutError` in its block after ``within_s`` awake seconds.
+    """Raises :class:`TimeoutError` in its block after ``within_s`` of running time.
 
-    It is used like :func:`asyncio.timeout`, and None stands for no end::
+    It is used like :func:`asyncio.timeout`; None means no timeout::
 
-        async with AwakeTimeout(0.3) as bound:
+        async with StallAwareTimeout(0.3) as timeout:
             head = await connection.read_head()
-            bound.restart(1.0)
+            timeout.restart(1.0)
             body = await connection.read_body()
     """
 
     def __init__(self, within_s: float | None) -> None:
         self._within_s = within_s
-        self._bound = asyncio.timeout(None)
-        self._ends_at: float | None = None
+        self._timeout = asyncio.timeout(None)
+        self._expires_at: float | None = None
         self._timer: asyncio.Handle | None = None
 
     async def __aenter__(self) -> "StallAwareTimeout":
-        """Begin to wait."""
+        """Start the timeout."""
         self._loop = asyncio.get_running_loop()
-        self._stalls = _stalls()
-        await self._bound.__aenter__()
-        self._stalls.begin_wait()
+        self._meter = _running_loop_meter()
+        await self._timeout.__aenter__()
+        self._meter.begin_wait()
         self.restart(self._within_s)
         return self
 
     async def __aexit__(self, *exc: object) -> bool | None:
-        """End the wait; raises :class:`TimeoutError` where it was over before."""
+        """Stop the timeout; raises :class:`TimeoutError` if it has expired."""
         self._disarm()
-        self._stalls.end_wait()
-        return await self._bound.__aexit__(*exc)
+        self._meter.end_wait()
+        return await self._timeout.__aexit__(*exc)
 
     def restart(self, within_s: float | None) -> None:
-        """End the wait so many awake seconds from now, None for never.
+        """Expire ``within_s`` of running time from now, or never if it is None.
 
-        A wait that has ended stays so.
+        A timeout that has expired is not started again.
         """
-        if self._bound.when() is not None:
+        if self._timeout.when() is not None:
             return
         if within_s is None:
-            self._ends_at = None
+            self._expires_at = None
             self._disarm()
             return
-        now = self._stalls.running_time()
-        earlier = self._ends_at is not None and now + within_s < self._ends_at
-        self._ends_at = now + within_s
+        now = self._meter.running_time()
+        earlier = self._expires_at is not None and now + within_s < self._expires_at
+        self._expires_at = now + within_s
         if earlier:
             self._disarm()
         if self._timer is None:
             self._arm()
 
     def expired(self) -> bool:
-        """Return whether the wait has ended by its time."""
-        return self._bound.expired()
+        """Return whether the timeout has expired."""
+        return self._timeout.expired()
 
     def _arm(self) -> None:
-        left_s = max(0.0, self._ends_at - self._stalls.running_time())
-        self._timer = self._loop.call_later(left_s, self._time_is_over)
+        left_s = max(0.0, self._expires_at - self._meter.running_time())
+        self._timer = self._loop.call_later(left_s, self._on_timer)
 
     def _disarm(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _time_is_over(self) -> None:
-        """Judge one turn of the loop later, when what came meanwhile has been read."""
-        self._timer = self._loop.call_soon(self._judge)
+    def _on_timer(self) -> None:
+        """Decide one loop iteration later, after the loop has read what has arrived."""
+        self._timer = self._loop.call_soon(self._check_expiry)
 
-    def _judge(self) -> None:
-        if self._ends_at <= self._stalls.running_time():
+    def _check_expiry(self) -> None:
+        if self._expires_at <= self._meter.running_time():
             self._timer = None
-            self._bound.reschedule(self._loop.time())
+            self._timeout.reschedule(self._loop.time())
         else:
             self._arm()
 
@@ -165,40 +168,43 @@
 
     def __init__(self, when: float) -> None:
         self._when = when
-        self._bound = asyncio.timeout(None)
+        self._timeout = asyncio.timeout(None)
 
     async def __aenter__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        await self._bound.__aenter__()
-        self._timer = self._loop.call_at(self._when, self._time_is_over)
+        await self._timeout.__aenter__()
+        self._timer = self._loop.call_at(self._when, self._on_timer)
 
     async def __aexit__(self, *exc: object) -> bool | None:
         self._timer.cancel()
-        return await self._bound.__aexit__(*exc)
+        return await self._timeout.__aexit__(*exc)
 
-    def _time_is_over(self) -> None:
-        self._timer = self._loop.call_soon(self._give_up)
+    def _on_timer(self) -> None:
+        self._timer = self._loop.call_soon(self._expire)
 
-    def _give_up(self) -> None:
-        self._bound.reschedule(self._loop.time())
+    def _expire(self) -> None:
+        self._timeout.reschedule(self._loop.time())
 
 
 def deadline_timeout(when: float) -> _DeadlineTimeout:
-    """Return a context that ends like :func:`asyncio.timeout_at`, a turn later.
+    """Return a context manager like :func:`asyncio.timeout_at`, one iteration later.
 
-    What came while the process stood still has been read by then: an answer that
-    is there is given, though its deadline has passed.
+    The loop has then read what arrived while the process was stalled, so an answer
+    that has arrived is delivered although its deadline has passed.
     """
     return _DeadlineTimeout(when)
 
 
 async def stall_aware_sleep(seconds: float) -> None:
-    """Wait for so many awake seconds."""
+    """Sleep for ``seconds`` of running time."""
     await stall_aware_wait(asyncio.get_running_loop().create_future(), seconds)
 
 
 async def stall_aware_wait(awaited: asyncio.Future, within_s: float) -> bool:
-    """Return whether a future is done within so many awake seconds; it goes on."""
+    """Wait up to ``within_s`` of running time; return whether the future is done.
+
+    The future is not cancelled.
+    """
     try:
         async with StallAwareTimeout(within_s):
             await asyncio.wait({awaited})
