--- a/packages/coordination/src/eelgrass_coordination/change_log.py
+++ b/packages/coordination/src/eelgrass_coordination/change_log.py
@@ -4,9 +4,9 @@
 head in one transaction that is conditional on the head, so changes are serial:
 no two can be checked against the same state and both be accepted.
 
-Where the answer of a commit is lost, the same transaction is repeated until its
-fate is known: its conditions let it take effect once at most, and once the head
-has moved on it can no longer take effect late.
+If the answer to a commit is lost, the same transaction is retried until its outcome
+is known. Its conditions let it take effect at most once, and once the head has
+advanced it can no longer take effect late.
 """
 
 import asyncio
@@ -26,12 +26,12 @@
 HEAD = RowKey("configuration_head", "head")
 CHANGES = "configuration_changes"
 CHANGE_IDS = "configuration_change_ids"
-PAUSE_S = 0.05
+RETRY_INTERVAL_S = 0.05
 READ_BATCH = 100
 
 
 class ChangeOutcome(Enum):
-    """What became of a change."""
+    """The outcome of a change."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -39,7 +39,7 @@
 
 
 class ChangeResult(msgspec.Struct, frozen=True):
-    """The outcome of a change, its revision or the problems it was refused for."""
+    """The outcome of a change, with its revision or the problems that it has."""
 
     outcome: ChangeOutcome
     revision: Revision = Revision(0)
@@ -51,7 +51,7 @@
 
 
 class ChangeLog:
-    """Reads and extends the log. ``head_reads`` counts reads of the head row."""
+    """Reads and appends to the log. ``head_reads`` counts reads of the head row."""
 
     def __init__(self, table: Table) -> None:
         self._table = table
@@ -85,10 +85,10 @@
         check: Check,
         within: float,
     ) -> ChangeResult:
-        """Check a change and commit it, within that many seconds.
+        """Check a change and commit it, within ``within`` seconds.
 
-        ``snapshot_at`` returns a snapshot of at least the revision it is given.
-        A repeat of an accepted change id returns its first result.
+        ``snapshot_at`` returns a snapshot of at least the given revision. Proposing a
+        change id that was accepted before returns the first result.
         """
         try:
             async with asyncio.timeout(within):
@@ -102,39 +102,39 @@
         while True:
             try:
                 head, version = await self.head()
-                known = await self.find(change.change_id)
-                if known is not None:
-                    return ChangeResult(ChangeOutcome.ACCEPTED, known)
+                accepted_at = await self.find(change.change_id)
+                if accepted_at is not None:
+                    return ChangeResult(ChangeOutcome.ACCEPTED, accepted_at)
                 snapshot = await snapshot_at(head)
             except PlatformError:
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
             if snapshot.revision != head:
                 continue
-            numbered = msgspec.structs.replace(
+            next_change = msgspec.structs.replace(
                 change, revision=Revision(head + 1), at=time.time()
             )
-            problems = find_problems(snapshot, numbered, check)
+            problems = find_problems(snapshot, next_change, check)
             if problems:
                 return ChangeResult(ChangeOutcome.REFUSED, problems=tuple(problems))
-            if await self._commit_until_answered(numbered, version):
-                return ChangeResult(ChangeOutcome.ACCEPTED, numbered.revision)
+            if await self._commit_with_retries(next_change, version):
+                return ChangeResult(ChangeOutcome.ACCEPTED, next_change.revision)
 
-    async def _commit_until_answered(self, change: Change, head_version: int) -> bool:
+    async def _commit_with_retries(self, change: Change, head_version: int) -> bool:
         transaction = _transaction(change, head_version)
         while True:
             try:
                 result = await self._table.commit(transaction)
             except PlatformError:
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
-            # A conflict may be with our own write whose answer was lost; the
-            # caller then finds the change id.
+            # The conflict may be with this process's own earlier write whose answer
+            # was lost. The caller then finds the change id in the table.
             return result.committed
 
 
 def change_key(revision: int) -> str:
-    """Return the row key of a revision's change; keys sort as revisions do."""
+    """Return the row key of a revision's change; keys sort in revision order."""
     return f"{revision:012d}"
 
 
@@ -148,7 +148,7 @@
 
 def _transaction(change: Change, head_version: int) -> Transaction:
     key = change_key(change.revision)
-    # As text, so that the values come back to the byte as they were checked.
+    # Stored as text, so that reads return the checked values byte for byte.
     record = {"change": msgspec.json.encode(change).decode()}
     revision = {"revision": change.revision}
     return Transaction(
--- a/packages/coordination/src/eelgrass_coordination/claims.py
+++ b/packages/coordination/src/eelgrass_coordination/claims.py
@@ -1,13 +1,14 @@
-"""Claims: at most one run of a non-idempotent request, wherever it arrives.
+"""Claims: a non-idempotent request runs at most once, whichever node receives it.
 
-A claim is a row inserted if absent before the first dispatch. It is never taken
-over: only its owner may release it, and only where the owner knows that nothing
-was dispatched. A lost answer of the table service is settled by repeating the
-same conditional write, because the row names its claim id.
+A claim is an idempotency record: a row that is inserted, if absent, before the first
+dispatch. It is never taken over. Only its owner may release it, and only if the owner
+knows that nothing was dispatched. When an answer of the table service is lost, the
+same conditional write is repeated; the claim id in the row then tells whether the
+first attempt took effect.
 
-A write whose answer was lost may land after its sender gave up. An abandoned
-claim is therefore closed by writing a released row in its place: from then on
-the condition of the late write can no longer hold.
+A write whose answer was lost may take effect after its sender has given up. An
+abandoned claim is therefore closed by writing a released row in its place, after
+which the condition of the late write fails.
 
 Example::
 
@@ -35,12 +36,12 @@
 
 CLAIMS = "claims"
 OPEN_CLAIMS = "open_claims"
-FIRST_PAUSE_S = 0.02
-MAX_PAUSE_S = 1.0
+INITIAL_BACKOFF_S = 0.02
+MAX_BACKOFF_S = 1.0
 
 
 class ClaimState(Enum):
-    """What is known of the request behind a claim."""
+    """The state of the request that a claim stands for."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -52,9 +53,9 @@
 class Claim(msgspec.Struct, frozen=True):
     """A claim row.
 
-    ``digest`` is that of the request body, ``owner_address`` the IP address and
-    port at which the owner answers peers, ``started_at`` and ``deadline_at``
-    are wall-clock seconds for operators to read; nothing is decided by them.
+    ``digest`` is the digest of the request body and ``owner_address`` the IP address
+    and port at which the owner answers peers. ``started_at`` and ``deadline_at`` are
+    wall-clock seconds for operators to read; no decision depends on them.
     """
 
     claim_id: ClaimId
@@ -73,7 +74,7 @@
 
 
 class Acquisition(msgspec.Struct, frozen=True):
-    """The result of an acquisition: the row's claim, and whether it is ours."""
+    """The claim in the row, the row's version, and whether this caller acquired it."""
 
     acquired: bool
     claim: Claim
@@ -81,7 +82,10 @@
 
 
 def claim_row_key(account: AccountName, key: str) -> str:
-    """Return the row key of a claim; hashed, since callers choose ``key``."""
+    """Return the row key of a claim.
+
+    The caller-supplied ``key`` is hashed, since it may hold any text.
+    """
     digest = hashlib.sha256(key.encode()).hexdigest()
     return f"{account}/{digest}"
 
@@ -97,62 +101,62 @@
         self._table = table
         self._group = GroupCommit(table)
         self._on_retry = on_retry
-        self._closing: set[asyncio.Task] = set()
+        self._background_tasks: set[asyncio.Task] = set()
 
     @property
     def group(self) -> GroupCommit:
-        """The group commit below, for its counters."""
+        """The underlying group commit, for its counters."""
         return self._group
 
     async def acquire(self, claim: Claim, within: float) -> Acquisition:
-        """Insert ``claim`` if there is none, within that many seconds.
+        """Insert ``claim`` if there is none, within ``within`` seconds.
 
-        Raises :class:`ClaimUnsettled` where the table service does not settle
-        it in time; the claim is then closed in the background.
+        Raises :class:`ClaimUnsettled` if the table service does not confirm or refuse
+        the claim in time; the claim is then closed in the background.
         """
-        tried = [0]
+        last_expected = [0]
         try:
             async with asyncio.timeout(within):
-                return await self._acquire(claim, tried)
+                return await self._acquire(claim, last_expected)
         except TimeoutError as error:
-            self._in_background(self._close_abandoned(claim, tried[0]))
-            raise ClaimUnsettled("the platform did not settle it") from error
+            self._start_background(self._close_abandoned(claim, last_expected[0]))
+            raise ClaimUnsettled("the table service did not confirm it") from error
         except asyncio.CancelledError:
-            self._in_background(self._close_abandoned(claim, tried[0]))
+            self._start_background(self._close_abandoned(claim, last_expected[0]))
             raise
 
-    async def _acquire(self, claim: Claim, tried: list[int]) -> Acquisition:
+    async def _acquire(self, claim: Claim, last_expected: list[int]) -> Acquisition:
         while True:
-            expected = tried[0]
-            result = await self._commit_until_answered(claim, expected)
+            expected = last_expected[0]
+            result = await self._commit_with_retries(claim, expected)
             if result.committed:
                 return Acquisition(acquired=True, claim=claim, version=expected + 1)
-            row = await self._read_until_answered(claim)
+            row = await self._read_with_retries(claim)
             found = _claim_of(row)
             if found is None:
-                tried[0] = 0
+                last_expected[0] = 0
             elif found.claim_id == claim.claim_id:
                 return Acquisition(acquired=True, claim=claim, version=row.version)
             elif found.state is ClaimState.RELEASED:
-                tried[0] = row.version
+                last_expected[0] = row.version
             else:
                 return Acquisition(acquired=False, claim=found, version=row.version)
 
     async def complete(self, held: Acquisition, answer: Any) -> bool:
-        """Store the answer; waits until the table service has settled it."""
+        """Store the answer; waits until the table service has confirmed the outcome."""
         return await self._finish(held, ClaimState.COMPLETED, answer, "")
 
     async def release(self, held: Acquisition) -> bool:
-        """Give the claim back; only where nothing was dispatched for it."""
+        """Release the claim; allowed only if nothing was dispatched for it."""
         return await self._finish(held, ClaimState.RELEASED, None, "not run")
 
     async def mark_unknown(self, held: Acquisition, note: str) -> bool:
-        """Record that the request may have run; operators see it listed."""
+        """Record that the request may have run; operators see the claim as open."""
         return await self._finish(held, ClaimState.UNKNOWN, None, note)
 
     def finish_in_background(self, finishing: Any) -> asyncio.Task:
-        """Go on with ``complete`` or ``release`` after the caller's answer."""
-        return self._in_background(finishing)
+        """Run ``complete`` or ``release`` after the caller has been answered."""
+        return self._start_background(finishing)
 
     async def find(self, account: AccountName, key: str) -> Row:
         """Read the claim row of a key."""
@@ -161,7 +165,7 @@
         return row
 
     async def list_open(self, after: str = "", limit: int = 500) -> tuple[Claim, ...]:
-        """Read a page of the claims that have no final state."""
+        """Read a page of the claims that have not reached a final state."""
         rows = await self._table.scan(OPEN_CLAIMS, after, limit)
         keys = tuple(RowKey(CLAIMS, row.key) for row in rows)
         if not keys:
@@ -170,10 +174,10 @@
         return tuple(claim for claim in found if claim is not None)
 
     async def resolve(self, account: AccountName, key: str, note: str) -> bool:
-        """Let an operator close an unknown claim; a repeat is then refused.
+        """Close an open claim on behalf of an operator; repeats are then refused.
 
-        Returns whether the claim was open. It stays claimed, so the request
-        still cannot run a second time under this key.
+        Returns whether the claim was open. The key stays claimed, so the request
+        cannot run a second time under it.
         """
         row = await self.find(account, key)
         claim = _claim_of(row)
@@ -186,16 +190,16 @@
         return await self._finish(held, ClaimState.RESOLVED, None, note)
 
     async def drain(self, within: float) -> int:
-        """Wait for background work; return how many pieces are left undone."""
-        if self._closing:
-            await asyncio.wait(self._closing, timeout=within)
-        return len(self._closing)
+        """Wait for background tasks; return how many are still unfinished."""
+        if self._background_tasks:
+            await asyncio.wait(self._background_tasks, timeout=within)
+        return len(self._background_tasks)
 
     async def close(self) -> None:
-        """Cancel background work."""
-        for task in list(self._closing):
+        """Cancel the background tasks."""
+        for task in list(self._background_tasks):
             task.cancel()
-        await asyncio.gather(*self._closing, return_exceptions=True)
+        await asyncio.gather(*self._background_tasks, return_exceptions=True)
 
     async def _finish(
         self, held: Acquisition, state: ClaimState, answer: Any, note: str
@@ -203,39 +207,39 @@
         final = msgspec.structs.replace(
             held.claim, state=state, answer=answer, note=note
         )
-        result = await self._commit_until_answered(final, held.version)
+        result = await self._commit_with_retries(final, held.version)
         if result.committed:
             return True
-        found = _claim_of(await self._read_until_answered(final))
+        found = _claim_of(await self._read_with_retries(final))
         return (
             found is not None
             and found.claim_id == final.claim_id
             and found.state is state
         )
 
-    async def _close_abandoned(self, claim: Claim, tried: int) -> None:
+    async def _close_abandoned(self, claim: Claim, last_expected: int) -> None:
         released = msgspec.structs.replace(
             claim, state=ClaimState.RELEASED, note="abandoned"
         )
-        version = tried
+        version = last_expected
         while True:
-            result = await self._commit_until_answered(released, version)
+            result = await self._commit_with_retries(released, version)
             if result.committed:
                 return
-            row = await self._read_until_answered(claim)
+            row = await self._read_with_retries(claim)
             found = _claim_of(row)
             ours = found is not None and found.claim_id == claim.claim_id
             if not ours or found.state is not ClaimState.RUNNING:
                 return
             version = row.version
 
-    async def _commit_until_answered(
+    async def _commit_with_retries(
         self, claim: Claim, version: int
     ) -> TransactionResult:
         key = claim_row_key(claim.account, claim.key)
         conditions = (Condition(CLAIMS, key, version),)
         writes = (Write(CLAIMS, key, msgspec.to_builtins(claim)), _open_row(claim, key))
-        pause = FIRST_PAUSE_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             try:
                 return await self._group.commit(conditions, writes)
@@ -243,23 +247,23 @@
                 self._on_retry("claim_answer_lost")
             except PlatformError:
                 self._on_retry("claim_platform_unavailable")
-            await asyncio.sleep(pause)
-            pause = min(pause * 2, MAX_PAUSE_S)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
-    async def _read_until_answered(self, claim: Claim) -> Row:
-        pause = FIRST_PAUSE_S
+    async def _read_with_retries(self, claim: Claim) -> Row:
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             try:
                 return await self.find(claim.account, claim.key)
             except PlatformError:
                 self._on_retry("claim_read")
-            await asyncio.sleep(pause)
-            pause = min(pause * 2, MAX_PAUSE_S)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
-    def _in_background(self, work: Any) -> asyncio.Task:
+    def _start_background(self, work: Any) -> asyncio.Task:
         task = asyncio.create_task(work)
-        self._closing.add(task)
-        task.add_done_callback(self._closing.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
         return task
 
 
--- a/packages/coordination/src/eelgrass_coordination/configuration.py
+++ b/packages/coordination/src/eelgrass_coordination/configuration.py
@@ -1,9 +1,9 @@
-"""Revisioned configuration: snapshots, changes and how one follows another.
+"""Revisioned configuration: snapshots, and the changes that lead to the next one.
 
 A snapshot is immutable and holds every object of one revision in encoded form.
-Each object knows the revision that last changed it and the revision that
-created it. Revisions never repeat, so the latter tells apart two objects that
-had the same name one after the other (its incarnation).
+Each entry records the revision that last changed the object and the revision that
+created it (its incarnation). Revisions never repeat, so the incarnation
+distinguishes two objects that had the same name at different times.
 """
 
 from enum import Enum
@@ -35,10 +35,10 @@
 
 
 class ChangeItem(msgspec.Struct, frozen=True):
-    """One object's part of a change.
+    """The part of a change that concerns one object.
 
-    ``base_revision`` is the revision of the object that the change was prepared
-    against; 0 for a creation.
+    ``base_revision`` is the object's revision that the change was prepared against,
+    0 for a creation.
     """
 
     kind: str
@@ -89,7 +89,7 @@
 
 
 def apply_change(snapshot: Snapshot, change: Change) -> Snapshot:
-    """Return the snapshot that ``change`` makes of ``snapshot``.
+    """Return the snapshot that results from applying ``change`` to ``snapshot``.
 
     Raises :class:`SnapshotGap` unless the change is the next revision.
     """
@@ -109,25 +109,25 @@
         return
     old = by_name.get(item.name)
     incarnation = old.incarnation if old is not None else revision
-    # A slice of a larger message would keep that whole message alive.
+    # Copied: a slice of a larger message would keep that message in memory.
     value = msgspec.Raw(bytes(item.value))
     by_name[item.name] = Entry(revision, incarnation, value)
 
 
 def stale_items(snapshot: Snapshot, change: Change) -> list[Problem]:
-    """Return the items that were prepared against another state.
+    """Return a problem for each item that was prepared against another state.
 
-    This refuses both a lost update between two teams and a change that was
-    prepared against an object which has since been deleted and created anew.
+    This detects both a lost update between two teams and a change that was
+    prepared against an object that has since been deleted and recreated.
     """
     return [
         problem
         for item in change.items
-        if (problem := _staleness(snapshot.get(item.kind, item.name), item))
+        if (problem := _stale_problem(snapshot.get(item.kind, item.name), item))
     ]
 
 
-def _staleness(entry: Entry | None, item: ChangeItem) -> Problem | None:
+def _stale_problem(entry: Entry | None, item: ChangeItem) -> Problem | None:
     field = f"{item.kind}/{item.name}"
     if item.action is Action.CREATE:
         if entry is None:
--- a/packages/coordination/src/eelgrass_coordination/exceptions.py
+++ b/packages/coordination/src/eelgrass_coordination/exceptions.py
@@ -1,6 +1,6 @@
-"""The exception tree of the coordination parts.
+"""Exceptions of the coordination package.
 
-Every message says what happened and what to do next.
+Every message says what failed and what to do next.
 """
 
 __all__ = [
@@ -15,7 +15,7 @@
 
 
 class CoordinationError(Exception):
-    """Base of all errors raised by the coordination parts."""
+    """Base class of all errors of this package."""
 
 
 class PlatformError(CoordinationError):
@@ -27,40 +27,40 @@
 
     def __init__(self, detail: str) -> None:
         super().__init__(
-            f"The platform did not take the call ({detail}). Nothing was "
-            "written; repeat the call once the platform answers again."
+            f"The platform refused or did not receive the call ({detail}). Nothing "
+            "was written; retry the call once the platform answers again."
         )
 
 
 class Throttled(PlatformUnavailable):
-    """The platform refused the call because of its rate limit."""
+    """The platform refused the call because its rate limit is reached."""
 
 
 class OutcomeUnknown(PlatformError):
-    """The call was sent and its answer was lost, so it may have taken effect."""
+    """The call was sent but its answer was lost, so it may have taken effect."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
             f"The platform's answer was lost ({detail}). Read the rows back, or "
-            "repeat the transaction with the same conditions."
+            "retry the transaction with the same conditions."
         )
 
 
 class ClaimUnsettled(CoordinationError):
-    """A claim could neither be taken nor refused within its time."""
+    """A claim was neither acquired nor refused in time."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(
-            f"The claim could not be settled in time ({detail}). Nothing was "
-            "dispatched for it; repeat the request with the same key later."
+            f"The claim was neither acquired nor refused in time ({detail}). Nothing "
+            "was dispatched for it; retry the request with the same key later."
         )
 
 
 class SnapshotGap(CoordinationError):
-    """A change does not follow directly on the snapshot it is applied to."""
+    """A change is not the next revision of the snapshot it is applied to."""
 
     def __init__(self, have: int, got: int) -> None:
         super().__init__(
             f"Change {got} does not follow revision {have}. Fetch the changes in "
-            "between, or a whole snapshot."
+            "between, or a full snapshot."
         )
--- a/packages/coordination/src/eelgrass_coordination/group_commit.py
+++ b/packages/coordination/src/eelgrass_coordination/group_commit.py
@@ -1,13 +1,13 @@
 """Group commit: many small transactions in one write to the table service.
 
-While one write is under way, further units gather; they go out together when
-it returns. A unit whose condition fails is answered alone, and the others are
-sent again without it.
-
-Writes keep a spacing, which doubles when the service says that its rate limit
-is reached and shrinks again with each write that it takes. So many processes
-share the limit without knowing of each other, and a refused unit waits here
-for the next write instead of going back to its sender.
+Units that arrive while a write is in progress are batched into the next write. If
+the condition of a unit fails, that unit gets its result and the others are sent
+again without it.
+
+Writes are spaced. The spacing doubles when the service reports that its rate limit
+is reached, and shrinks with each write that it accepts. Processes thus share the
+limit without knowing of each other, and a throttled unit waits here for the next
+write instead of being returned to its sender.
 """
 
 import asyncio
@@ -34,16 +34,16 @@
         self.result: asyncio.Future[TransactionResult] = (
             asyncio.get_running_loop().create_future()
         )
-        named = [*conditions, *writes]
-        self.keys = frozenset(RowKey(part.table, part.key) for part in named)
+        parts = [*conditions, *writes]
+        self.keys = frozenset(RowKey(part.table, part.key) for part in parts)
 
 
 class GroupCommit:
-    """Gathers transactions for one table service.
+    """Batches transactions for one table service.
 
-    ``transactions`` and ``units`` count what was sent and what it carried,
-    ``throttled`` the transactions refused for the rate limit. ``spacing_s`` is
-    the least time between two transactions now, in seconds.
+    ``transactions`` counts the transactions sent, ``units`` the units in them and
+    ``throttled`` the transactions that were refused because of the rate limit.
+    ``spacing_s`` is the current minimum time between two transactions, in seconds.
     """
 
     def __init__(self, table: Table, max_units: int = DEFAULT_MAX_UNITS) -> None:
@@ -70,34 +70,34 @@
     async def _run(self) -> None:
         try:
             while self._waiting:
-                await self._keep_spacing()
-                await self._send(self._take())
+                await self._wait_for_spacing()
+                await self._send(self._next_batch())
         finally:
             self._task = None
 
-    async def _keep_spacing(self) -> None:
+    async def _wait_for_spacing(self) -> None:
         now = asyncio.get_running_loop().time()
         if self._next_at > now:
             await asyncio.sleep(self._next_at - now)
-        # Spread out, so that processes throttled together do not stay in step.
-        spread = random.uniform(0.75, 1.25)
+        # Jitter, so that processes throttled together do not stay synchronized.
+        jitter = random.uniform(0.75, 1.25)
         now = asyncio.get_running_loop().time()
-        self._next_at = now + self.spacing_s * spread
+        self._next_at = now + self.spacing_s * jitter
 
-    def _take(self) -> list[_Unit]:
-        # Units that name a common row must not share a transaction: both would
-        # be checked against the state before it, and both would pass.
-        taken: list[_Unit] = []
-        left: list[_Unit] = []
+    def _next_batch(self) -> list[_Unit]:
+        # Units that name the same row must not share a transaction: both would be
+        # checked against the state before it, and both would pass.
+        batch: list[_Unit] = []
+        remaining: list[_Unit] = []
         keys: set[RowKey] = set()
         for unit in self._waiting:
-            if len(taken) < self._max_units and keys.isdisjoint(unit.keys):
-                taken.append(unit)
+            if len(batch) < self._max_units and keys.isdisjoint(unit.keys):
+                batch.append(unit)
                 keys |= unit.keys
             else:
-                left.append(unit)
-        self._waiting = left
-        return taken
+                remaining.append(unit)
+        self._waiting = remaining
+        return batch
 
     async def _send(self, units: list[_Unit]) -> None:
         transaction = Transaction(
@@ -129,17 +129,22 @@
 
 def _without_failed(units: list[_Unit], result: TransactionResult) -> list[_Unit]:
     failed = frozenset(result.failed)
-    left: list[_Unit] = []
+    remaining: list[_Unit] = []
     for unit in units:
-        own = tuple(key for key in failed if key in unit.keys)
-        if own:
-            _settle(unit, TransactionResult(committed=False, failed=own))
+        unit_failed = tuple(key for key in failed if key in unit.keys)
+        if unit_failed:
+            _settle(unit, TransactionResult(committed=False, failed=unit_failed))
         else:
-            left.append(unit)
-    if len(left) == len(units):
-        _fail(units, CoordinationError("A refused transaction named no failed row."))
+            remaining.append(unit)
+    if len(remaining) == len(units):
+        _fail(
+            units,
+            CoordinationError(
+                "The table service refused a write but named no failed row."
+            ),
+        )
         return []
-    return left
+    return remaining
 
 
 def _settle(unit: _Unit, result: TransactionResult) -> None:
--- a/packages/coordination/src/eelgrass_coordination/snapshots.py
+++ b/packages/coordination/src/eelgrass_coordination/snapshots.py
@@ -1,8 +1,9 @@
 """Snapshots of the configuration in the object store.
 
-A process that starts without peers would otherwise read every change since the
-beginning. Now and then whoever commits a change writes the whole snapshot as
-an object, and then a row that names the newest one. The row only moves forward.
+Without them, a process that starts without peers would have to read every change since
+the first. The node that commits a change writes the full snapshot as an object once
+enough changes have accumulated, and then updates a row that names the newest snapshot.
+The revision in that row never decreases.
 """
 
 from typing import Protocol
@@ -21,7 +22,7 @@
 
 
 class ObjectStore(Protocol):
-    """What is needed of the platform's object store."""
+    """The operations that are needed of the platform's object store."""
 
     async def put(self, name: str, body: bytes) -> None:
         """Write an object; raises :class:`PlatformError`."""
@@ -41,7 +42,7 @@
         self._every = every
 
     async def newest(self) -> Snapshot | None:
-        """Read the newest snapshot, None where there is none."""
+        """Read the newest snapshot; return None if there is none."""
         row = await self._newest_row()
         if row.value is None:
             return None
@@ -49,17 +50,18 @@
         return msgspec.json.decode(body, type=Snapshot)
 
     async def save_if_due(self, snapshot: Snapshot) -> bool:
-        """Write the snapshot if enough changes came since the last one.
+        """Write the snapshot if enough changes have been made since the last one.
 
-        Nothing is lost where it fails: a later change tries again.
+        Returns whether it was written. A failure is harmless, since a later change
+        tries again.
         """
         try:
             row = await self._newest_row()
-            if snapshot.revision < _revision_of(row) + self._every:
+            if snapshot.revision < _revision_in(row) + self._every:
                 return False
             body = msgspec.json.encode(snapshot)
             await self._objects.put(_object_name(snapshot.revision), body)
-            return await self._move_row(row, snapshot.revision)
+            return await self._update_newest_row(row, snapshot.revision)
         except PlatformError:
             return False
 
@@ -67,7 +69,7 @@
         (row,) = await self._table.read((NEWEST,))
         return row
 
-    async def _move_row(self, row: Row, revision: Revision) -> bool:
+    async def _update_newest_row(self, row: Row, revision: Revision) -> bool:
         transaction = Transaction(
             conditions=(Condition(NEWEST.table, NEWEST.key, row.version),),
             writes=(Write(NEWEST.table, NEWEST.key, {"revision": revision}),),
@@ -75,10 +77,10 @@
         return (await self._table.commit(transaction)).committed
 
 
-def _revision_of(row: Row) -> int:
+def _revision_in(row: Row) -> int:
     return row.value["revision"] if row.value else 0
 
 
 def _object_name(revision: int) -> str:
-    # An object is written once: a name never gets another content.
+    # The name holds the revision, so the content of an object never changes.
     return f"configuration/{revision:012d}.json"
--- a/packages/coordination/tests/change_model.py
+++ b/packages/coordination/tests/change_model.py
@@ -1,8 +1,8 @@
 """A small specification of configuration changes, for exhaustive checking.
 
-Three teams each have one change. A commit is conditional on the head's version
-and on the change id; it can land at any time after it was sent, and a team
-that gets no answer sends it again, or prepares it anew once the head has moved.
+Three teams each have one change. A commit is conditional on the version of the head
+and on the change id, and can take effect at any time after it was sent. A team that
+gets no answer sends it again, or prepares it again once the head has advanced.
 """
 
 from enum import Enum
@@ -11,11 +11,11 @@
 TEAMS = 3
 NO_HEAD_CONDITION = "commit without the condition on the head"
 NO_CHANGE_ID = "commit without the condition on the change id"
-NODE_TAKES_ANY = "a node takes whatever it reads"
+NODE_APPLIES_ANY = "a node applies whatever it reads"
 
 
 class Phase(Enum):
-    """Where a team's change is."""
+    """The progress of a team's change."""
 
     IDLE = 0
     SENT = 1
@@ -23,24 +23,25 @@
 
 
 class Commit(NamedTuple):
-    """A commit on its way, checked against revision ``base``."""
+    """A commit in flight, which was checked against revision ``base``."""
 
     team: int
     base: int
 
 
 class State(NamedTuple):
-    """``log`` holds for each revision the commit that made it.
+    """The state of the log, the teams and one node.
 
-    ``seen`` is the revision of one node and ``lowered`` whether it ever fell;
-    ``stale`` is an older head that a lagging reader may still be told.
+    ``log`` holds the commit that made each revision. ``node_revision`` is the revision
+    of one node, which may read any revision up to the head, and ``went_back`` whether
+    it has ever decreased.
     """
 
     log: tuple = ()
     phases: tuple = (Phase.IDLE,) * TEAMS
-    net: frozenset = frozenset()
-    seen: int = 0
-    lowered: bool = False
+    in_flight: frozenset = frozenset()
+    node_revision: int = 0
+    went_back: bool = False
 
 
 def transitions(variant=None):
@@ -48,14 +49,14 @@
 
     def step(raw):
         state = State(*raw)
-        found = []
+        steps = []
         for team in range(TEAMS):
-            found += _team_steps(state, team, variant)
-        for commit in state.net:
-            found.append((f"land {commit}", _land(state, commit, variant)))
+            steps += _team_steps(state, team, variant)
+        for commit in state.in_flight:
+            steps.append((f"land {commit}", _land(state, commit, variant)))
         for revision in range(len(state.log) + 1):
-            found.append((f"node hears {revision}", _hear(state, revision, variant)))
-        return [(name, tuple(after)) for name, after in found]
+            steps.append((f"node reads {revision}", _read(state, revision, variant)))
+        return [(name, tuple(after)) for name, after in steps]
 
     return step
 
@@ -74,13 +75,13 @@
 
 def _send(state, team):
     commit = Commit(team, len(state.log))
-    return _to(state, team, Phase.SENT)._replace(net=state.net | {commit})
+    return _to(state, team, Phase.SENT)._replace(in_flight=state.in_flight | {commit})
 
 
 def _land(state, commit, variant):
-    after = state._replace(net=state.net - {commit})
-    known = any(other.team == commit.team for other in state.log)
-    if known and variant != NO_CHANGE_ID:
+    after = state._replace(in_flight=state.in_flight - {commit})
+    accepted = any(other.team == commit.team for other in state.log)
+    if accepted and variant != NO_CHANGE_ID:
         return after
     if commit.base != len(state.log) and variant != NO_HEAD_CONDITION:
         return after
@@ -89,11 +90,11 @@
     return after._replace(log=(*state.log, commit))
 
 
-def _hear(state, revision, variant):
-    if revision <= state.seen and variant != NODE_TAKES_ANY:
+def _read(state, revision, variant):
+    if revision <= state.node_revision and variant != NODE_APPLIES_ANY:
         return state
-    lowered = state.lowered or revision < state.seen
-    return state._replace(seen=revision, lowered=lowered)
+    went_back = state.went_back or revision < state.node_revision
+    return state._replace(node_revision=revision, went_back=went_back)
 
 
 def _to(state, team, phase):
@@ -108,5 +109,5 @@
     "each change is accepted once": lambda d: (
         len({commit.team for commit in d["log"]}) == len(d["log"])
     ),
-    "a node never goes back": lambda d: not d["lowered"],
+    "a node never goes back": lambda d: not d["went_back"],
 }
--- a/packages/coordination/tests/claim_model.py
+++ b/packages/coordination/tests/claim_model.py
@@ -1,9 +1,9 @@
 """A small specification of claims, for exhaustive checking.
 
-Three calls under one key, each at a process of its own, share one row of the
-table. Writes are conditional on the row's version. A write can land at any
-time after it was sent, also after its sender gave up or died, and the sender
-learns of its fate only by reading the row.
+Three calls with the same key, each in a process of its own, share one row of the
+table. Writes are conditional on the row's version. A write can take effect at any time
+after it was sent, even after its sender gave up or crashed, and the sender learns its
+outcome only by reading the row.
 """
 
 from enum import Enum
@@ -17,7 +17,7 @@
 
 
 class Phase(Enum):
-    """Where a call is."""
+    """The progress of a call."""
 
     IDLE = 0
     TRYING = 1
@@ -29,7 +29,7 @@
 
 
 class RowState(Enum):
-    """What the row says."""
+    """The state that is stored in the row."""
 
     ABSENT = 0
     RUNNING = 1
@@ -38,7 +38,7 @@
 
 
 class Row(NamedTuple):
-    """The one row."""
+    """The row that the calls share."""
 
     version: int = 0
     owner: int = -1
@@ -46,7 +46,7 @@
 
 
 class Write(NamedTuple):
-    """A conditional write on its way."""
+    """A conditional write in flight."""
 
     call: int
     state: RowState
@@ -54,12 +54,12 @@
 
 
 class State(NamedTuple):
-    """The whole state; ``runs`` counts dispatches."""
+    """The complete state; ``runs`` counts dispatches."""
 
     row: Row = Row()
     phases: tuple = (Phase.IDLE,) * CALLS
-    tried: tuple = (0,) * CALLS
-    net: frozenset = frozenset()
+    last_expected: tuple = (0,) * CALLS
+    in_flight: frozenset = frozenset()
     runs: int = 0
 
 
@@ -71,7 +71,7 @@
         found = []
         for call in range(CALLS):
             found += _call_steps(state, call, variant)
-        for write in state.net:
+        for write in state.in_flight:
             found.append((f"land {write}", _land(state, write, variant)))
         return [(name, tuple(after)) for name, after in found]
 
@@ -90,7 +90,7 @@
                 _to(state, call, Phase.ABANDONING),
                 call,
                 RowState.RELEASED,
-                state.tried[call],
+                state.last_expected[call],
             ),
         )
         yield "die", _to(state, call, Phase.DEAD)
@@ -123,8 +123,13 @@
     if variant == TAKEOVER and row.state is RowState.RUNNING:
         free = True
     if free:
-        tried = _replaced(state.tried, call, row.version)
-        return _send(state._replace(tried=tried), call, RowState.RUNNING, row.version)
+        last_expected = _replaced(state.last_expected, call, row.version)
+        return _send(
+            state._replace(last_expected=last_expected),
+            call,
+            RowState.RUNNING,
+            row.version,
+        )
     return _to(state, call, Phase.REFUSED)
 
 
@@ -132,13 +137,13 @@
     row = state.row
     if row.owner == call and row.state is RowState.RUNNING:
         return _send(state, call, RowState.RELEASED, row.version)
-    if row.version <= state.tried[call]:
+    if row.version <= state.last_expected[call]:
         return state
     return _to(state, call, Phase.REFUSED)
 
 
 def _land(state, write, variant):
-    after = state._replace(net=state.net - {write})
+    after = state._replace(in_flight=state.in_flight - {write})
     conditional = not (variant == UNCONDITIONAL and write.state is RowState.RUNNING)
     if conditional and state.row.version != write.expected:
         return after
@@ -154,7 +159,9 @@
 
 
 def _send(state, call, row_state, expected):
-    return state._replace(net=state.net | {Write(call, row_state, expected)})
+    return state._replace(
+        in_flight=state.in_flight | {Write(call, row_state, expected)}
+    )
 
 
 def _replaced(values, index, value):
--- a/packages/coordination/tests/test_change_log.py
+++ b/packages/coordination/tests/test_change_log.py
@@ -1,4 +1,4 @@
-"""The change log: serial changes, lost answers, and a follower that only advances."""
+"""The change log: serial changes, lost answers, and a follower that never goes back."""
 
 import asyncio
 import random
@@ -26,7 +26,7 @@
 
 
 def at_most_two(before, after):
-    """A check that only the whole result can fail."""
+    """A check that depends on the complete result of a change."""
     if len(after.by_kind.get(KIND, {})) <= 2:
         return []
     return [Problem(KIND, "there are more than two", "delete one first")]
@@ -47,7 +47,7 @@
 
 
 class Team:
-    """One team's node: a change log and its follower."""
+    """The node that a team uses: a change log and its follower."""
 
     def __init__(self, table, check=no_check):
         self.log = ChangeLog(table)
@@ -72,7 +72,7 @@
 
 
 class TestRacingTeams:
-    async def test_two_teams_cannot_both_pass_a_check_of_the_whole(self):
+    async def test_concurrent_changes_cannot_both_pass_a_global_check(self):
         table = UnreliableTable()
         teams = [Team(table, at_most_two) for _ in range(4)]
         results = await asyncio.gather(
@@ -82,7 +82,7 @@
         assert outcomes.count(ChangeOutcome.ACCEPTED) == 2
         assert outcomes.count(ChangeOutcome.REFUSED) == 2
 
-    async def test_an_amendment_of_an_older_state_is_refused(self):
+    async def test_an_amendment_of_an_outdated_revision_is_refused(self):
         table = UnreliableTable()
         first, second = Team(table), Team(table)
         base = (await first.submit(create("thing"))).revision
@@ -91,7 +91,7 @@
         assert result.outcome is ChangeOutcome.REFUSED
         assert "prepare the change anew" in result.problems[0].remedy
 
-    async def test_a_change_of_a_deleted_object_misses_its_successor(self):
+    async def test_a_change_of_a_deleted_object_does_not_affect_its_successor(self):
         table = UnreliableTable()
         first, second = Team(table), Team(table)
         base = (await first.submit(create("thing"))).revision
@@ -131,7 +131,7 @@
 
 
 class TestLostAnswers:
-    async def test_a_lost_answer_is_settled_and_repeats_change_nothing(self):
+    async def test_a_lost_answer_is_resolved_and_a_repeat_has_no_effect(self):
         table = UnreliableTable()
         table.lose_answers = 1
         result = await Team(table).submit(create("thing"))
@@ -139,7 +139,7 @@
         assert result == again
         assert result.outcome is ChangeOutcome.ACCEPTED
 
-    async def test_a_late_write_lands_once_or_never(self):
+    async def test_a_late_write_takes_effect_at_most_once(self):
         table = UnreliableTable()
         table.late_by = [0.1, 0.2]
         first = await Team(table).submit(create("thing", value=1))
--- a/packages/coordination/tests/test_claims.py
+++ b/packages/coordination/tests/test_claims.py
@@ -17,14 +17,14 @@
 
 
 class UnansweringTable(UnreliableTable):
-    """A table of which no answer comes at all until it is ``back``."""
+    """A table that never answers until ``recovered`` is set."""
 
     def __init__(self):
         super().__init__()
-        self.back = asyncio.Event()
+        self.recovered = asyncio.Event()
 
     async def commit(self, transaction, timeout=None):
-        if not self.back.is_set():
+        if not self.recovered.is_set():
             self.commit_late(transaction, 0.3)
             await asyncio.sleep(0.05)
             raise OutcomeUnknown("no answer")
@@ -59,7 +59,7 @@
         held = await asyncio.gather(*acquiring)
         assert sum(one.acquired for one in held) == 1
 
-    async def test_a_lost_answer_is_settled_as_acquired(self):
+    async def test_a_lost_answer_to_the_insert_is_resolved(self):
         table = UnreliableTable()
         claims = Claims(table)
         table.lose_answers = 1
@@ -68,14 +68,14 @@
         assert await claims.complete(held, "answer")
         assert await state_of(claims) is ClaimState.COMPLETED
 
-    async def test_a_lost_answer_of_the_end_is_settled(self):
+    async def test_a_lost_answer_to_the_completion_is_resolved(self):
         table = UnreliableTable()
         claims = Claims(table)
         held = await claims.acquire(new_claim(), 1.0)
         table.lose_answers = 2
         assert await claims.complete(held, "answer")
 
-    async def test_a_released_claim_can_be_taken_again(self):
+    async def test_a_released_claim_can_be_acquired_again(self):
         claims = Claims(UnreliableTable())
         held = await claims.acquire(new_claim(), 1.0)
         assert await claims.release(held)
@@ -83,12 +83,12 @@
         assert again.acquired
         assert not (await claims.acquire(new_claim(), 1.0)).acquired
 
-    async def test_a_write_that_lands_after_giving_up_blocks_nobody(self):
+    async def test_a_late_write_of_an_abandoned_claim_blocks_nobody(self):
         table = UnansweringTable()
         claims = Claims(table)
         with pytest.raises(ClaimUnsettled):
             await claims.acquire(new_claim(), 0.1)
-        table.back.set()
+        table.recovered.set()
         await asyncio.gather(*table.late_tasks)
         assert await claims.drain(2.0) == 0
         assert await state_of(claims) is ClaimState.RELEASED
@@ -103,7 +103,7 @@
         await asyncio.gather(*table.late_tasks)
         assert sum(one.acquired for one in held) == 1
 
-    async def test_open_claims_are_listed_until_they_end(self):
+    async def test_open_claims_are_listed_until_they_are_resolved(self):
         claims = Claims(UnreliableTable())
         held = await claims.acquire(new_claim(), 1.0)
         assert [c.key for c in await claims.list_open()] == ["key-1"]
@@ -116,7 +116,7 @@
 
 
 class ThrottlingTable(UnreliableTable):
-    """A table with a rate limit, in transactions a second."""
+    """A table with a rate limit, in transactions per second."""
 
     def __init__(self, rate):
         super().__init__()
@@ -130,7 +130,7 @@
 
 
 class TestRateLimit:
-    async def test_processes_share_a_limit_and_no_claim_is_given_up(self):
+    async def test_processes_share_a_limit_and_no_claim_is_abandoned(self):
         table = ThrottlingTable(rate=60)
         processes = [Claims(table) for _ in range(10)]
 
@@ -168,7 +168,7 @@
         assert all(result.committed for result in results)
         assert group.transactions <= 3
 
-    async def test_a_conflict_fails_its_own_unit_only(self):
+    async def test_a_conflict_fails_only_its_own_unit(self):
         table = UnreliableTable()
         group = GroupCommit(table)
         await group.commit((), (Write("t", "taken", {}),))
--- a/packages/coordination/tests/test_models.py
+++ b/packages/coordination/tests/test_models.py
@@ -1,7 +1,7 @@
-"""The specifications of claims and changes, checked exhaustively.
+"""Exhaustive checks of the specifications of claims and changes.
 
-Each invariant holds in the specification and fails in a broken variant, so the
-check is known to be able to find what it looks for.
+Each invariant holds in the specification and fails in a deliberately broken variant,
+which shows that the check can detect a violation.
 """
 
 import pytest
@@ -11,12 +11,12 @@
 import claim_model
 
 MAX_STATES = 500_000
-# A counterexample is sound even where the search is not finished.
+# A counterexample is valid even if the search did not visit all states.
 MAX_STATES_BROKEN = 40_000
 
 
 def check(model, variant=None):
-    """Check a model; print and return its properties by name."""
+    """Check a model; print its number of states and return its properties by name."""
     most = MAX_STATES if variant is None else MAX_STATES_BROKEN
     protocol = Protocol(
         name=model.__name__,
@@ -63,7 +63,7 @@
                 "each change was checked against the revision before it",
             ),
             (change_model.NO_CHANGE_ID, "each change is accepted once"),
-            (change_model.NODE_TAKES_ANY, "a node never goes back"),
+            (change_model.NODE_APPLIES_ANY, "a node never goes back"),
         ],
     )
     def test_a_broken_variant_is_caught(self, variant, invariant):
--- a/packages/coordination/tests/test_snapshots.py
+++ b/packages/coordination/tests/test_snapshots.py
@@ -8,25 +8,25 @@
 
 
 class Objects:
-    """An object store in memory that can be out."""
+    """An in-memory object store that can be made unavailable."""
 
     def __init__(self):
         self.by_name = {}
-        self.out = False
+        self.unavailable = False
 
     async def put(self, name, body):
-        if self.out:
-            raise PlatformUnavailable("out")
+        if self.unavailable:
+            raise PlatformUnavailable("unavailable")
         self.by_name[name] = body
 
     async def get(self, name):
-        if self.out:
-            raise PlatformUnavailable("out")
+        if self.unavailable:
+            raise PlatformUnavailable("unavailable")
         return self.by_name[name]
 
 
 class TestSnapshotStore:
-    async def test_it_is_saved_every_so_many_changes_and_found_again(self):
+    async def test_it_is_saved_after_enough_changes_and_read_back(self):
         objects = Objects()
         store = SnapshotStore(TableStandIn(), objects, every=10)
         saved = [await store.save_if_due(Snapshot(n, {})) for n in range(1, 26)]
@@ -39,14 +39,14 @@
         assert not await store.save_if_due(Snapshot(20, {}))
         assert (await store.newest()).revision == 30
 
-    async def test_an_outage_is_made_good_by_a_later_change(self):
+    async def test_a_later_change_saves_it_after_an_outage(self):
         objects = Objects()
         store = SnapshotStore(TableStandIn(), objects, every=10)
-        objects.out = True
+        objects.unavailable = True
         assert not await store.save_if_due(Snapshot(10, {}))
         with pytest.raises(PlatformUnavailable):
             await SnapshotStore(FailingTable(), objects).newest()
-        objects.out = False
+        objects.unavailable = False
         assert await store.save_if_due(Snapshot(11, {}))
 
 
@@ -54,4 +54,4 @@
     """A table that cannot be read."""
 
     async def read(self, keys, timeout=None):
-        raise PlatformUnavailable("out")
+        raise PlatformUnavailable("unavailable")
--- a/packages/coordination/tests/unreliable.py
+++ b/packages/coordination/tests/unreliable.py
@@ -7,7 +7,11 @@
 
 
 class UnreliableTable(TableStandIn):
-    """Loses answers or delays effects as told, or at random from a seed."""
+    """Loses answers or delays writes, as configured or at random.
+
+    ``lose_answers`` is the number of next answers to lose, and ``late_by`` lists the
+    delays of the next writes, in seconds.
+    """
 
     def __init__(self, randomness=None):
         super().__init__()
