--- a/packages/coordination/src/eelgrass_coordination/__init__.py
+++ b/packages/coordination/src/eelgrass_coordination/__init__.py
@@ -1,7 +1,7 @@
-"""Coordination parts of a serving system, for embedding in other programs.
+"""Coordination for a serving system, as a library for other programs.
 
-Nothing here starts a process or needs a running daemon. What has to be agreed
-or kept goes through a transactional table service (:class:`Table`).
+Nothing here starts a process or needs a running daemon. State that has to be agreed
+on or stored goes through a transactional table service (:class:`Table`).
 """
 
 from .bounded_call import bounded_call, send_allowance_s
@@ -36,8 +36,8 @@
 )
 
 __all__ = [
+    "Acquisition",
     "Action",
-    "StallAwareTimeout",
     "Change",
     "ChangeItem",
     "ChangeLog",
@@ -50,11 +50,10 @@
     "Entry",
     "Exchange",
     "Follower",
+    "GossipItem",
     "GroupCommit",
-    "Acquisition",
     "HttpObjects",
     "HttpTable",
-    "GossipItem",
     "Member",
     "MemberState",
     "Membership",
@@ -66,16 +65,17 @@
     "RowKey",
     "Snapshot",
     "SnapshotStore",
+    "StallAwareTimeout",
     "Table",
     "Transaction",
     "TransactionResult",
     "Write",
-    "stall_aware_sleep",
-    "running_time",
-    "stall_aware_wait",
     "bounded_call",
     "deadline_timeout",
     "ranked",
+    "running_time",
     "send_allowance_s",
     "share_of_limit",
+    "stall_aware_sleep",
+    "stall_aware_wait",
 ]
--- a/packages/coordination/src/eelgrass_coordination/http_objects.py
+++ b/packages/coordination/src/eelgrass_coordination/http_objects.py
@@ -11,7 +11,7 @@
 
 
 class HttpObjects:
-    """The object store at ``address``; the session belongs to the caller."""
+    """The object store at ``address``; the caller owns and closes the session."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         self._timeout_s = timeout
 
     async def put(self, name: str, body: bytes) -> None:
-        """Write an object; a repeat of the same write is harmless."""
+        """Write an object; repeating the same write has no further effect."""
         await self._call("POST", name, body)
 
     async def get(self, name: str) -> bytes:
@@ -38,5 +38,6 @@
                 self._session, method, url, body, self._timeout_s
             )
         except OutcomeUnknown as error:
-            # Objects are only written whole and with the same bytes again.
+            # Safe to retry: a write replaces the full object, and a retry sends the
+            # same bytes.
             raise PlatformUnavailable(str(error)) from error
--- a/packages/coordination/src/eelgrass_coordination/http_table.py
+++ b/packages/coordination/src/eelgrass_coordination/http_table.py
@@ -21,7 +21,7 @@
 class HttpTable:
     """The table service at ``address``, for example ``http://10.0.0.5:9000``.
 
-    The session belongs to the caller, who closes it.
+    The caller owns the session and closes it.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         return msgspec.json.decode(body, type=_Rows).rows
 
     async def _read(self, path: str, query: Any, timeout: float | None) -> bytes:
-        # A read has no effect, so a lost answer is as good as no call.
+        # A read has no effect, so losing its answer equals not making the call.
         try:
             return await self._post(path, query, timeout)
         except OutcomeUnknown as error:
--- a/packages/coordination/src/eelgrass_coordination/ids.py
+++ b/packages/coordination/src/eelgrass_coordination/ids.py
@@ -30,5 +30,5 @@
 
 
 def new_id(prefix: str) -> str:
-    """Return a fresh identifier such as ``attempt-5f0c…`` (96 random bits)."""
+    """Return a new identifier such as ``attempt-5f0c…`` (96 random bits)."""
     return f"{prefix}-{secrets.token_hex(_RANDOM_BYTES)}"
--- a/packages/coordination/src/eelgrass_coordination/limits.py
+++ b/packages/coordination/src/eelgrass_coordination/limits.py
@@ -1,4 +1,4 @@
-"""Limits and budgets: retry budgets, shares of a limit, moving averages."""
+"""Retry budgets, per-node shares of a limit, and moving averages."""
 
 import math
 
@@ -6,10 +6,10 @@
 
 
 class RetryBudget:
-    """Allows retries as a fraction of requests, so that they cannot snowball.
+    """Limits retries to a fraction of requests, which prevents retry storms.
 
-    ``ratio`` is the retries allowed per request in the long run and ``reserve``
-    the number that may be spent at once.
+    ``ratio`` is the long-run number of retries per request and ``reserve`` the number
+    of retries that may be spent at once.
 
     Example::
 
@@ -25,11 +25,11 @@
         self._tokens = reserve
 
     def record_request(self) -> None:
-        """Earn the share of one request."""
+        """Credit the budget with the share of one request."""
         self._tokens = min(self._reserve, self._tokens + self._ratio)
 
     def try_spend(self) -> bool:
-        """Take one retry from the budget; False where it is used up."""
+        """Spend one retry; return False if the budget is exhausted."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -46,7 +46,7 @@
         self._seen = False
 
     def record(self, value: float) -> None:
-        """Take in one observation."""
+        """Add one observation."""
         if not self._seen:
             self.mean = value
             self._seen = True
@@ -56,15 +56,15 @@
         self.deviation += self._weight * (abs(error) - self.deviation)
 
     def upper(self, deviations: float) -> float:
-        """Return the mean plus that many mean deviations."""
+        """Return the mean plus ``deviations`` times the mean deviation."""
         return self.mean + deviations * self.deviation
 
 
 def share_of_limit(limit: int, live_nodes: int, headroom: float = 1.5) -> int:
-    """Return one node's share of a back end's limit, from 1 to the whole limit.
+    """Return one node's share of a backend server's limit, from 1 to the full limit.
 
-    ``headroom`` lets the shares add up to more than the limit, since nodes are
-    seldom all busy at the same back end.
+    ``headroom`` lets the shares add up to more than the limit, because all nodes are
+    seldom busy at the same server at once.
     """
     share = math.ceil(limit * headroom / max(1, live_nodes))
     return max(1, min(limit, share))
--- a/packages/coordination/src/eelgrass_coordination/platform_call.py
+++ b/packages/coordination/src/eelgrass_coordination/platform_call.py
@@ -1,7 +1,7 @@
-"""One call to the platform's services, with every failure sorted out.
+"""Calls to the platform's services, with each failure mapped to an exception.
 
-The client library repeats a dropped call by itself only for idempotent methods:
-calls that may have an effect are POSTs.
+aiohttp retries a dropped call on its own if the method is idempotent. Calls that may
+have an effect therefore use POST, which it does not retry.
 """
 
 import aiohttp
@@ -23,10 +23,10 @@
     body: bytes | None,
     within_s: float,
 ) -> bytes:
-    """Make a call and return the body of its answer.
+    """Make a call and return the body of its response.
 
-    Raises :class:`PlatformUnavailable` where it surely had no effect and
-    :class:`OutcomeUnknown` where it may have had one.
+    Raises :class:`PlatformUnavailable` if the call certainly had no effect and
+    :class:`OutcomeUnknown` if it may have had one.
     """
     try:
         headers = {"Content-Type": "application/json"} if body else None
--- a/packages/coordination/src/eelgrass_coordination/rendezvous.py
+++ b/packages/coordination/src/eelgrass_coordination/rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing: nodes that know the same names make the same choice.
+"""Rendezvous hashing: nodes that see the same names make the same choice.
 
-Where a name comes or goes, only the keys that it was first for move.
+When a name is added or removed, only the keys for which it ranks first move.
 
 Example::
 
@@ -19,7 +19,7 @@
 
 
 def ranked(items: Iterable[T], key: str, name: Callable[[T], str]) -> list[T]:
-    """Return ``items`` in the order of the hash of their name with ``key``."""
+    """Return ``items`` sorted by the hash of their name and ``key``."""
 
     def weight(item: T) -> bytes:
         text = f"{name(item)}/{key}".encode()
--- a/packages/coordination/src/eelgrass_coordination/table.py
+++ b/packages/coordination/src/eelgrass_coordination/table.py
@@ -1,8 +1,8 @@
-"""The platform's transactional table service, as its clients see it.
+"""The interface of the platform's transactional table service.
 
-A row is named by table and key and carries a version, which the service raises
-by one at each write. Version 0 stands for a row that does not exist. A
-transaction commits all of its writes, or none where a condition fails.
+A row is identified by table and key and has a version, which the service increments
+by one at each write. Version 0 means that the row does not exist. A transaction
+commits all of its writes, or none if a condition fails.
 
 Example::
 
@@ -30,14 +30,14 @@
 
 
 class RowKey(msgspec.Struct, frozen=True, array_like=True):
-    """The name of a row."""
+    """The identity of a row."""
 
     table: str
     key: str
 
 
 class Row(msgspec.Struct, frozen=True):
-    """A row as read; ``version`` is 0 and ``value`` None where it is absent."""
+    """A row as read; if it is absent, ``version`` is 0 and ``value`` is None."""
 
     table: str
     key: str
@@ -46,7 +46,7 @@
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """Demands that a row has exactly this version."""
+    """Requires that a row has exactly this version."""
 
     table: str
     key: str
@@ -54,7 +54,7 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Replaces a row, or deletes it where ``value`` is None."""
+    """Replaces a row, or deletes it if ``value`` is None."""
 
     table: str
     key: str
@@ -62,7 +62,7 @@
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Writes that take effect together, if every condition holds."""
+    """Writes that take effect atomically if every condition holds."""
 
     conditions: tuple[Condition, ...]
     writes: tuple[Write, ...]
@@ -76,15 +76,15 @@
 
 
 class Table(Protocol):
-    """What the coordination parts need of the table service."""
+    """The operations that this package needs of the table service."""
 
     async def commit(
         self, transaction: Transaction, timeout: float | None = None
     ) -> TransactionResult:
         """Commit ``transaction``; ``timeout`` is in seconds.
 
-        Raises :class:`PlatformUnavailable` where it surely had no effect and
-        :class:`OutcomeUnknown` where it may have had one.
+        Raises :class:`PlatformUnavailable` if it certainly had no effect and
+        :class:`OutcomeUnknown` if it may have had one.
         """
 
     async def read(
@@ -95,4 +95,4 @@
     async def scan(
         self, table: str, after: str = "", limit: int = 500
     ) -> tuple[Row, ...]:
-        """Read up to ``limit`` rows with keys above ``after``, in key order."""
+        """Read up to ``limit`` rows with keys after ``after``, in key order."""
