--- a/tests/support/clock.py
+++ b/tests/support/clock.py
@@ -1,4 +1,4 @@
-"""A clock that stands still until a test moves it."""
+"""A manual clock, which advances only when a test sets it."""
 
 __all__ = ["Clock"]
 
@@ -10,5 +10,5 @@
         self.now = now
 
     def __call__(self) -> float:
-        """Return the time that was set."""
+        """Return the time that the test has set."""
         return self.now
--- a/tests/support/datagram_network.py
+++ b/tests/support/datagram_network.py
@@ -1,7 +1,8 @@
-"""Datagrams between many parts of one process, in simulated time.
+"""A simulated datagram network within one process, in simulated time.
 
-Some hundred nodes of the membership run in one process, and a minute of theirs takes
-seconds. Each datagram arrives after the delay of the way, or is lost.
+Some hundred members of the membership protocol can run in one process, where a
+simulated minute takes seconds. Each datagram is delivered after the network latency,
+or is lost.
 """
 
 import asyncio
@@ -15,15 +16,15 @@
 
 T = TypeVar("T")
 
-# One way between two hosts of different data centres, in seconds.
-DELAY_S = 0.0009
+# One-way latency between hosts of different data centres, in seconds.
+ONE_WAY_DELAY_S = 0.0009
 
 
 class DatagramLoop(SimulatedTimeLoop):
     """A loop whose datagram sockets are connected by a simulated network.
 
-    ``loss`` is the share of datagrams that are lost. ``sent`` counts datagrams and
-    ``sent_bytes`` their bytes.
+    ``loss`` is the fraction of datagrams that are lost. ``sent`` counts the datagrams
+    sent and ``sent_bytes`` their bytes.
     """
 
     def __init__(self, loss: float = 0.0, seed: int = 1) -> None:
@@ -37,20 +38,20 @@
     async def create_datagram_endpoint(
         self, protocol_factory: Any, local_addr: tuple[str, int], **options: Any
     ) -> tuple[asyncio.DatagramTransport, asyncio.DatagramProtocol]:
-        """Bind a protocol to an address of the network."""
+        """Bind a protocol to an address of the simulated network."""
         protocol = protocol_factory()
         self._protocol_by_address[local_addr] = protocol
         return _Transport(self, local_addr), protocol
 
     def carry(self, data: bytes, source: tuple[str, int], to: tuple[str, int]) -> None:
-        """Deliver a datagram after the delay of the way, or lose it."""
+        """Deliver a datagram after the network latency, or lose it."""
         self.sent += 1
         self.sent_bytes += len(data)
         if self._random.random() >= self._loss:
-            self.call_later(DELAY_S, self._deliver, data, source, to)
+            self.call_later(ONE_WAY_DELAY_S, self._deliver, data, source, to)
 
     def unbind(self, address: tuple[str, int]) -> None:
-        """Let nobody receive at an address."""
+        """Drop the datagrams that arrive at an address from now on."""
         self._protocol_by_address.pop(address, None)
 
     def _deliver(
@@ -80,6 +81,6 @@
 
 
 def run_network(main: Coroutine[Any, Any, T], loss: float = 0.0, seed: int = 1) -> T:
-    """Run ``main`` to its end on a simulated network, in simulated time."""
+    """Run ``main`` to completion on a simulated network, in simulated time."""
     with asyncio.Runner(loop_factory=lambda: DatagramLoop(loss, seed)) as runner:
         return runner.run(main)
--- a/tests/support/members.py
+++ b/tests/support/members.py
@@ -1,4 +1,4 @@
-"""Records of nodes as tests need them."""
+"""Member records for tests."""
 
 from eelgrass_coordination import Member
 from eelgrass_coordination.ids import DataCentre, NodeId
@@ -7,7 +7,7 @@
 
 
 def member(name: str, data_centre: str = "a", capacity: float = 1.0) -> Member:
-    """Return the record of a node that is alive."""
+    """Return the record of a live node."""
     return Member(
         NodeId(name),
         DataCentre(data_centre),
--- a/tests/support/simulated_time.py
+++ b/tests/support/simulated_time.py
@@ -10,14 +10,14 @@
 
 
 class SimulatedTimeLoop(asyncio.SelectorEventLoop):
-    """Runs minutes of timers in an instant; for work without sockets."""
+    """Advances its clock to the next timer when idle; for code without sockets."""
 
     def __init__(self) -> None:
         super().__init__()
         self._now = 0.0
 
     def time(self) -> float:
-        """Return the simulated seconds since the loop began."""
+        """Return the simulated seconds since the loop was created."""
         return self._now
 
     def _run_once(self) -> None:
@@ -27,6 +27,6 @@
 
 
 def run_in_simulated_time(main: Coroutine[Any, Any, T]) -> T:
-    """Run ``main`` to its end in simulated time."""
+    """Run ``main`` to completion in simulated time."""
     with asyncio.Runner(loop_factory=SimulatedTimeLoop) as runner:
         return runner.run(main)
