--- a/packages/coordination/src/eelgrass_coordination/change_log.py
+++ b/packages/coordination/src/eelgrass_coordination/change_log.py
@@ -39,7 +39,7 @@
 
 
 class ChangeResult(msgspec.Struct, frozen=True):
-    """The outcome of a change, with its revision or the problems that it has."""
+    """The outcome of a change, with its revision or the reasons for its refusal."""
 
     outcome: ChangeOutcome
     revision: Revision = Revision(0)
--- a/packages/coordination/src/eelgrass_coordination/http_table.py
+++ b/packages/coordination/src/eelgrass_coordination/http_table.py
@@ -57,7 +57,7 @@
         return msgspec.json.decode(body, type=_Rows).rows
 
     async def _read(self, path: str, query: Any, timeout: float | None) -> bytes:
-        # A read has no effect, so losing its answer equals not making the call.
+        # A read has no effect, so a lost answer is equivalent to a call not made.
         try:
             return await self._post(path, query, timeout)
         except OutcomeUnknown as error:
--- a/packages/coordination/src/eelgrass_coordination/suspicion.py
+++ b/packages/coordination/src/eelgrass_coordination/suspicion.py
@@ -30,7 +30,7 @@
             self._dead_since[member.id] = period
 
     def pop_expired_suspects(self, period: int) -> list[NodeId]:
-        """Remove and return the suspected members that did not refute it in time."""
+        """Remove and return the members that did not refute their suspicion in time."""
         return _pop_due(self._suspected_since, period - SUSPICION_PERIODS)
 
     def pop_forgotten(self, period: int) -> list[NodeId]:
--- a/packages/coordination/tests/change_model.py
+++ b/packages/coordination/tests/change_model.py
@@ -53,7 +53,7 @@
         for team in range(TEAMS):
             steps += _team_steps(state, team, variant)
         for commit in state.in_flight:
-            steps.append((f"land {commit}", _land(state, commit, variant)))
+            steps.append((f"apply {commit}", _apply(state, commit, variant)))
         for revision in range(len(state.log) + 1):
             steps.append((f"node reads {revision}", _read(state, revision, variant)))
         return [(name, tuple(after)) for name, after in steps]
@@ -78,7 +78,7 @@
     return _to(state, team, Phase.SENT)._replace(in_flight=state.in_flight | {commit})
 
 
-def _land(state, commit, variant):
+def _apply(state, commit, variant):
     after = state._replace(in_flight=state.in_flight - {commit})
     accepted = any(other.team == commit.team for other in state.log)
     if accepted and variant != NO_CHANGE_ID:
--- a/packages/coordination/tests/claim_model.py
+++ b/packages/coordination/tests/claim_model.py
@@ -72,7 +72,7 @@
         for call in range(CALLS):
             found += _call_steps(state, call, variant)
         for write in state.in_flight:
-            found.append((f"land {write}", _land(state, write, variant)))
+            found.append((f"apply {write}", _apply(state, write, variant)))
         return [(name, tuple(after)) for name, after in found]
 
     return step
@@ -142,7 +142,7 @@
     return _to(state, call, Phase.REFUSED)
 
 
-def _land(state, write, variant):
+def _apply(state, write, variant):
     after = state._replace(in_flight=state.in_flight - {write})
     conditional = not (variant == UNCONDITIONAL and write.state is RowState.RUNNING)
     if conditional and state.row.version != write.expected:
--- a/packages/coordination/tests/test_anti_entropy.py
+++ b/packages/coordination/tests/test_anti_entropy.py
@@ -141,7 +141,7 @@
         assert run_network(main()) == []
 
 
-class TestComparison:
+class TestAntiEntropy:
     def _new_anti_entropy(self, live):
         sent = []
 
--- a/packages/coordination/tests/test_gossip_items.py
+++ b/packages/coordination/tests/test_gossip_items.py
@@ -5,7 +5,7 @@
 from eelgrass_coordination.messages import GossipItem
 
 
-class TestHeardMarks:
+class TestGossipItems:
     def test_an_item_is_new_once_and_again_with_a_greater_number(self):
         items = GossipItems()
         assert items.apply(GossipItem("kind", "name", 2), period=0, times=1)
--- a/packages/coordination/tests/test_running_time.py
+++ b/packages/coordination/tests/test_running_time.py
@@ -41,7 +41,7 @@
     time.sleep(STALL_S)
 
 
-class TestAwakeTimeout:
+class TestStallAwareTimeout:
     # A plain timeout mistakes an answer that arrives during a stall for silence.
     async def test_an_answer_that_arrived_during_a_stall_is_read(self):
         with answer_after(0.02) as our_end:
@@ -111,7 +111,7 @@
             await waiting
 
 
-class TestAwakeWait:
+class TestStallAwareWait:
     async def test_it_returns_whether_the_future_is_done(self):
         loop = asyncio.get_running_loop()
         future = loop.create_future()
