--- a/packages/coordination/src/eelgrass_coordination/claims.py
+++ b/packages/coordination/src/eelgrass_coordination/claims.py
@@ -32,7 +32,7 @@
 from .ids import AccountName, ClaimId, Incarnation, NodeId
 from .table import Condition, Row, RowKey, Table, TransactionResult, Write
 
-__all__ = ["Claim", "ClaimState", "Claims", "Acquisition", "claim_row_key"]
+__all__ = ["Acquisition", "Claim", "ClaimState", "Claims", "claim_row_key"]
 
 CLAIMS = "claims"
 OPEN_CLAIMS = "open_claims"
--- a/packages/coordination/src/eelgrass_coordination/messages.py
+++ b/packages/coordination/src/eelgrass_coordination/messages.py
@@ -7,7 +7,7 @@
 from .ids import Revision
 from .members import Member
 
-__all__ = ["Exchange", "GossipItem", "Message", "MessageKind", "BroadcastQueue"]
+__all__ = ["BroadcastQueue", "Exchange", "GossipItem", "Message", "MessageKind"]
 
 
 class MessageKind(Enum):
