--- a/packages/coordination/src/eelgrass_coordination/anti_entropy.py
+++ b/packages/coordination/src/eelgrass_coordination/anti_entropy.py
@@ -48,9 +48,10 @@
         self._cached_by_id: dict[NodeId, tuple[Member, int]] = {}
 
     def of(self, member: Member) -> int:
-        """Return the fingerprint of a record.
+        """Return the fingerprint of a record: a hash of id, epoch, version and state.
 
-        It differs between different records, except for rare collisions.
+        Records that differ in these have different fingerprints, except for rare
+        collisions.
         """
         cached = self._cached_by_id.get(member.id)
         if cached is not None and cached[0] is member:
