--- a/packages/node/src/eelgrass_node/process/changes.py
+++ b/packages/node/src/eelgrass_node/process/changes.py
@@ -61,11 +61,11 @@
         )
         if result.outcome is not ChangeOutcome.ACCEPTED:
             return ChangeReport(result)
-        await self._take_up(result.revision)
+        await self._catch_up(result.revision)
         await self._snapshots.save_if_due(self._configuration.follower.snapshot)
         return await self._report(result)
 
-    async def _take_up(self, revision: Revision) -> None:
+    async def _catch_up(self, revision: Revision) -> None:
         # Read back rather than applied from the request: a repeated change id
         # stands for the change that was accepted under it first.
         try:
@@ -80,8 +80,14 @@
             *(self._wait_for_member(member, revision) for member in members)
         )
         own = self._membership.own.id
-        in_force = [m.id for m, there in zip(members, reached, strict=True) if there]
-        not_yet = [m.id for m, there in zip(members, reached, strict=True) if not there]
+        in_force = [
+            m.id for m, is_in_force in zip(members, reached, strict=True) if is_in_force
+        ]
+        not_yet = [
+            m.id
+            for m, is_in_force in zip(members, reached, strict=True)
+            if not is_in_force
+        ]
         if self._configuration.follower.revision >= revision:
             in_force.append(own)
         else:
--- a/packages/node/src/eelgrass_node/process/claimed_requests.py
+++ b/packages/node/src/eelgrass_node/process/claimed_requests.py
@@ -20,9 +20,9 @@
 
 __all__ = ["ClaimedRequests", "OwnerReply", "OwnerState"]
 
-FINISHED_KEPT_S = 60.0
+FINISHED_RETENTION_S = 60.0
 STORE_BEFORE_ANSWER_S = 0.25
-OWNER_MARGIN_S = 0.05
+OWNER_REPLY_MARGIN_S = 0.05
 RETRY_AFTER_S = 1.0
 
 Execute = Callable[[], Awaitable[Any]]
@@ -78,9 +78,9 @@
             held = await self._acquire(request)
             if held.acquired:
                 return await self._execute(held, execute), False
-            settled = await self._settled_answer(request, held.claim)
-            if settled is not None:
-                return settled.answer, True
+            finished_claim = await self._finished_claim(request, held.claim)
+            if finished_claim is not None:
+                return finished_claim.answer, True
 
     async def wait_until_finished(self, claim_id: ClaimId, wait_s: float) -> OwnerReply:
         """Answer a peer that asks for a claim of ours; waits for its end."""
@@ -152,7 +152,7 @@
         task = self._claims.finish_in_background(storing)
         await asyncio.wait({task}, timeout=STORE_BEFORE_ANSWER_S)
 
-    async def _settled_answer(
+    async def _finished_claim(
         self, request: CallerRequest, claim: Claim
     ) -> Claim | None:
         """Return the completed claim, None to look again, or raise Refused."""
@@ -164,11 +164,11 @@
             raise _refused(RefusalReason.CLAIM_OUTCOME_UNKNOWN, claim.note)
         if claim.state is ClaimState.RESOLVED:
             raise _refused(RefusalReason.CLAIM_RESOLVED, claim.note)
-        await self._wait_on_owner(request, claim)
+        await self._wait_for_owner(request, claim)
         return None
 
-    async def _wait_on_owner(self, request: CallerRequest, claim: Claim) -> None:
-        wait_s = request.remaining() - OWNER_MARGIN_S
+    async def _wait_for_owner(self, request: CallerRequest, claim: Claim) -> None:
+        wait_s = request.remaining() - OWNER_REPLY_MARGIN_S
         if wait_s <= 0:
             raise _refused(RefusalReason.CLAIM_STILL_RUNNING, retry_after=RETRY_AFTER_S)
         if claim.owner_incarnation == self._incarnation:
@@ -179,7 +179,7 @@
             raise _refused(RefusalReason.CLAIM_STILL_RUNNING, retry_after=RETRY_AFTER_S)
         if reply.state is OwnerState.FINISHED:
             # Its final row may be a moment behind its answer.
-            await asyncio.sleep(OWNER_MARGIN_S)
+            await asyncio.sleep(OWNER_REPLY_MARGIN_S)
             return
         row = await self._claims.find(claim.account, claim.key)
         if row.value is not None and row.value["state"] != ClaimState.RUNNING.value:
@@ -192,7 +192,7 @@
     async def _ask_owner(self, claim: Claim, wait_s: float) -> OwnerReply:
         message = {"claim_id": claim.claim_id, "wait_s": wait_s}
         address = claim.owner_address
-        within = wait_s + OWNER_MARGIN_S
+        within = wait_s + OWNER_REPLY_MARGIN_S
         try:
             return await self._peers.ask(
                 address, "claims/wait", message, OwnerReply, within
@@ -226,7 +226,7 @@
     def _forget_later(self, claim_id: ClaimId, running: _Running) -> None:
         running.finished.set()
         loop = asyncio.get_running_loop()
-        loop.call_later(FINISHED_KEPT_S, self._running_by_id.pop, claim_id, None)
+        loop.call_later(FINISHED_RETENTION_S, self._running_by_id.pop, claim_id, None)
 
 
 def _refused(
--- a/packages/node/src/eelgrass_node/process/configuration.py
+++ b/packages/node/src/eelgrass_node/process/configuration.py
@@ -55,8 +55,8 @@
     The choice is by a hash of the node id, so it moves only where nodes come
     or go. Nodes that see different members may both poll, which does no harm.
     """
-    near = [m for m in members if m.data_centre == own.data_centre]
-    pollers = ranked([*near, own], POLLERS_KEY, name=lambda member: member.id)
+    local = [m for m in members if m.data_centre == own.data_centre]
+    pollers = ranked([*local, own], POLLERS_KEY, name=lambda member: member.id)
     return own.id in [member.id for member in pollers[:POLLERS_PER_DATA_CENTRE]]
 
 
@@ -121,7 +121,7 @@
         """Apply changes; returns False where some are missing in between."""
         before = self.follower.revision
         complete = try_advance(self.follower, changes)
-        self._renew(before)
+        self._publish_version(before)
         return complete
 
     def on_revision_announced(
@@ -158,7 +158,7 @@
         if snapshot is not None:
             before = self.follower.revision
             self.follower.replace(snapshot)
-            self._renew(before)
+            self._publish_version(before)
 
     async def _revision_of(self, member: Member) -> int:
         message = {"revision": 0, "wait_s": 0.0}
@@ -187,17 +187,17 @@
             except PeerUnreachable as error:
                 log(Part.CONFIGURATION, "A peer gave no changes.", error=str(error))
                 return
-            self._take(answer)
+            self._apply_reply(answer)
 
-    def _take(self, answer: PeerChanges) -> None:
+    def _apply_reply(self, answer: PeerChanges) -> None:
         before = self.follower.revision
         if answer.snapshot is not None:
             self.follower.replace(answer.snapshot)
         elif answer.changes:
             try_advance(self.follower, answer.changes)
-        self._renew(before)
+        self._publish_version(before)
 
-    def _renew(self, before: Revision) -> None:
+    def _publish_version(self, before: Revision) -> None:
         revision = self.follower.revision
         if revision == before:
             return
--- a/packages/node/src/eelgrass_node/process/deployments.py
+++ b/packages/node/src/eelgrass_node/process/deployments.py
@@ -13,9 +13,9 @@
 
 # A newer configuration that has not come in this time may never come: one that only a
 # newer release can read, or a number that a faulty node tells.
-AWAITED_S = 10.0
+ANNOUNCEMENT_TIMEOUT_S = 10.0
 # Numbers that were awaited in vain and are remembered.
-MAX_LAPSED = 16
+MAX_EXPIRED_NUMBERS = 16
 
 
 class DeploymentInForce:
@@ -37,9 +37,9 @@
         self.current: Deployment | None = None
         self.raw = b""
         self.since = 0.0
-        self._awaited_number = -1
-        self._awaited_since = float("-inf")
-        self._lapsed_numbers: deque[int] = deque(maxlen=MAX_LAPSED)
+        self._announced_number = -1
+        self._announced_at = float("-inf")
+        self._expired_numbers: deque[int] = deque(maxlen=MAX_EXPIRED_NUMBERS)
 
     @property
     def number(self) -> int:
@@ -52,23 +52,23 @@
 
         What the one in force does not know may be there then.
         """
-        return self._awaited_number > self.number and not self._has_lapsed()
+        return self._announced_number > self.number and not self._has_expired()
 
     def on_number_announced(self, number: int) -> None:
         """Note the number of the configuration that another node has."""
-        if self._awaited_number >= 0 and self._has_lapsed():
+        if self._announced_number >= 0 and self._has_expired():
             # It must not hide the numbers of those that do come.
-            self._lapsed_numbers.append(self._awaited_number)
-            self._awaited_number = -1
-        if number in self._lapsed_numbers:
+            self._expired_numbers.append(self._announced_number)
+            self._announced_number = -1
+        if number in self._expired_numbers:
             return
-        if number > max(self.number, self._awaited_number):
-            self._awaited_number = number
-            self._awaited_since = asyncio.get_running_loop().time()
+        if number > max(self.number, self._announced_number):
+            self._announced_number = number
+            self._announced_at = asyncio.get_running_loop().time()
 
-    def _has_lapsed(self) -> bool:
+    def _has_expired(self) -> bool:
         now = asyncio.get_running_loop().time()
-        return now - self._awaited_since > AWAITED_S
+        return now - self._announced_at > ANNOUNCEMENT_TIMEOUT_S
 
     def apply_rows(self, rows: tuple[StoredRow, ...], source: str) -> None:
         """Take in rows of the operator's table; ``source`` says from where."""
--- a/packages/node/src/eelgrass_node/process/host_list.py
+++ b/packages/node/src/eelgrass_node/process/host_list.py
@@ -20,7 +20,7 @@
 __all__ = ["HostListPoller"]
 
 
-OTHERS_EVERY = 10
+NON_POLLER_INTERVALS = 10
 BYTES_PER_S = 8192
 
 
@@ -57,7 +57,7 @@
             # A long list is read less often, so that its bytes stay bounded; the
             # pollers are many and pass on what they see.
             await asyncio.sleep(max(self._interval_s, self._bytes / BYTES_PER_S))
-            if self._failing or turn % OTHERS_EVERY == 0 or self._polls():
+            if self._failing or turn % NON_POLLER_INTERVALS == 0 or self._polls():
                 await self.poll()
 
     async def poll(self) -> None:
--- a/packages/node/src/eelgrass_node/process/peer_catch_up.py
+++ b/packages/node/src/eelgrass_node/process/peer_catch_up.py
@@ -18,7 +18,7 @@
 
 # The store gets this long to bring a version of which another node has told, and once
 # more while an answer is coming: a second copy would only hold it up.
-PATIENCE_S = 0.5
+STORE_GRACE_S = 0.5
 # Between two tries of a node that knows nothing yet.
 START_RETRY_S = 0.3
 
@@ -37,25 +37,25 @@
         self,
         ask: Callable[[str], Awaitable[None]],
         number: Callable[[], int],
-        knows_tables: Callable[[], bool],
+        is_ready: Callable[[], bool],
         addresses: Callable[[], list[str]],
-        is_arriving: Callable[[], bool] = lambda: False,
+        is_receiving: Callable[[], bool] = lambda: False,
     ) -> None:
         self._ask = ask
         self._number = number
-        self._knows_tables = knows_tables
+        self._is_ready = is_ready
         self._addresses = addresses
-        self._is_arriving = is_arriving
+        self._is_receiving = is_receiving
         # The version that each node told of, by its address; the last to tell last.
-        self._told_by_address: dict[str, int] = {}
+        self._announced_by_address: dict[str, int] = {}
         self._task: asyncio.Task | None = None
 
     def on_number_announced(self, number: int, member: Member, age_s: float) -> None:
         """Note that another node has the configuration of that number."""
         if number <= self._number():
             return
-        self._told_by_address.pop(member.internal, None)
-        self._told_by_address[member.internal] = number
+        self._announced_by_address.pop(member.internal, None)
+        self._announced_by_address[member.internal] = number
         if self._task is None or self._task.done():
             self._task = asyncio.create_task(self._catch_up())
 
@@ -65,11 +65,11 @@
         One of them alone is not enough: a relay may have lost the other just before,
         and a node with a configuration and no servers refuses every request.
         """
-        await asyncio.sleep(PATIENCE_S)
-        while not self._knows_tables():
+        await asyncio.sleep(STORE_GRACE_S)
+        while not self._is_ready():
             addresses = self._addresses()
             if addresses:
-                await self._try(random.choice(addresses))
+                await self._fetch_from(random.choice(addresses))
             await asyncio.sleep(START_RETRY_S)
 
     async def _catch_up(self) -> None:
@@ -79,21 +79,23 @@
         the patience with the store and that wait have used up most of the 2 s within
         which a version must be in force.
         """
-        await asyncio.sleep(PATIENCE_S)
-        if self._is_arriving():
-            await asyncio.sleep(PATIENCE_S)
-        while address := self._last_teller():
-            del self._told_by_address[address]
-            await self._try(address)
-        self._told_by_address.clear()
-
-    def _last_teller(self) -> str | None:
+        await asyncio.sleep(STORE_GRACE_S)
+        if self._is_receiving():
+            await asyncio.sleep(STORE_GRACE_S)
+        while address := self._last_announcer():
+            del self._announced_by_address[address]
+            await self._fetch_from(address)
+        self._announced_by_address.clear()
+
+    def _last_announcer(self) -> str | None:
         """Return who told last of a newer version: the least likely to be gone."""
-        known = self._number()
-        told = reversed(self._told_by_address.items())
-        return next((address for address, number in told if number > known), None)
+        current = self._number()
+        announced = reversed(self._announced_by_address.items())
+        return next(
+            (address for address, number in announced if number > current), None
+        )
 
-    async def _try(self, address: str) -> None:
+    async def _fetch_from(self, address: str) -> None:
         try:
             await self._ask(address)
         except PeerUnreachable as error:
--- a/packages/node/src/eelgrass_node/process/platform_tables.py
+++ b/packages/node/src/eelgrass_node/process/platform_tables.py
@@ -77,7 +77,7 @@
         self.operator = TableReplica(
             reader,
             names.operator,
-            self._take_operator_rows,
+            self._apply_operator_rows,
             evacuations.apply_snapshot,
             evacuations.on_store_return,
             CONFIGURATION_WAIT_S,
@@ -110,7 +110,7 @@
         }
         self.relay = TableRelay(self._table_by_name, reader.reads_from_store)
 
-    def _take_operator_rows(self, rows: tuple[StoredRow, ...], source: str) -> None:
+    def _apply_operator_rows(self, rows: tuple[StoredRow, ...], source: str) -> None:
         self._deployments.apply_rows(rows, source)
         self._evacuations.apply_rows(rows)
 
--- a/packages/node/src/eelgrass_node/process/store_backoff.py
+++ b/packages/node/src/eelgrass_node/process/store_backoff.py
@@ -27,7 +27,7 @@
 # taken 1.6 s to be given up.
 FIRST_DELAY_S = 0.3
 # Kept back from the promise for the way of the change through the node.
-RESERVE = 0.1
+PROCESSING_RESERVE = 0.1
 # Pauses vary by this part downwards, so that nodes do not all come back together.
 JITTER = 0.25
 
@@ -38,9 +38,9 @@
     ``promised_s`` is the time within which a change must be in force, in seconds.
     """
 
-    def __init__(self, promised_s: float) -> None:
-        left_s = promised_s * (1 - RESERVE) - FULL_READ_RESPONSE_TIMEOUT_S
-        self.longest_s = max(FIRST_DELAY_S, left_s)
+    def __init__(self, deadline_s: float) -> None:
+        left_s = deadline_s * (1 - PROCESSING_RESERVE) - FULL_READ_RESPONSE_TIMEOUT_S
+        self.max_delay_s = max(FIRST_DELAY_S, left_s)
         self._next_s = FIRST_DELAY_S
 
     def reset(self) -> None:
@@ -50,5 +50,5 @@
     def next_delay_s(self) -> float:
         """Return how long to wait before the next try; grows with each call."""
         pause_s = self._next_s * random.uniform(1 - JITTER, 1)
-        self._next_s = min(self.longest_s, self._next_s * 2)
+        self._next_s = min(self.max_delay_s, self._next_s * 2)
         return pause_s
--- a/packages/node/src/eelgrass_node/process/store_tables.py
+++ b/packages/node/src/eelgrass_node/process/store_tables.py
@@ -22,7 +22,7 @@
 LARGE_ROW_BYTES = 4096
 # Rows that are gone and still known one by one, for followers that are behind; servers
 # come and go with new ids for as long as a node runs.
-MAX_GONE = 1000
+MAX_REMOVED_ROWS = 1000
 
 
 class StoredRow(msgspec.Struct, frozen=True):
@@ -69,26 +69,26 @@
         reader: TableReader,
         table: str,
         on_rows: Callable[[tuple[StoredRow, ...], str], None],
-        on_whole: Callable[[set[str]], None],
-        on_return: Callable[[], None],
+        on_snapshot: Callable[[set[str]], None],
+        on_store_recovered: Callable[[], None],
         wait_s: float,
-        promised_s: float,
+        deadline_s: float,
     ) -> None:
         self._reader = reader
         self._table = table
         self._on_rows = on_rows
-        self._on_whole = on_whole
-        self._on_return = on_return
+        self._on_snapshot = on_snapshot
+        self._on_store_recovered = on_store_recovered
         self._wait_s = wait_s
-        self._lost_pace = StoreBackoff(promised_s)
-        self._gone_pace = StoreBackoff(promised_s)
+        self._unavailable_backoff = StoreBackoff(deadline_s)
+        self._history_backoff = StoreBackoff(deadline_s)
         self._row_by_key: dict[str, StoredRow] = {}
         # Large rows that the one of their key has replaced.
-        self._before_by_key: dict[str, StoredRow] = {}
+        self._previous_by_key: dict[str, StoredRow] = {}
         # The keys of rows that are gone, in the order in which they went.
-        self._gone_keys: deque[str] = deque()
+        self._removed_keys: deque[str] = deque()
         self._version = -1
-        self._whole = False
+        self._is_complete = False
         # Removals before this version are not known one by one.
         self._complete_from = -1
         self._changed = asyncio.Event()
@@ -98,24 +98,24 @@
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
-        gone_before = False
+        was_gone = False
         while True:
             try:
                 if await self._step():
-                    gone_before = False
-                    self._gone_pace.reset()
-                self._lost_pace.reset()
+                    was_gone = False
+                    self._history_backoff.reset()
+                self._unavailable_backoff.reset()
             except HistoryGone:
-                self._whole = False
+                self._is_complete = False
                 log(Part.STORE, "The history is gone; reading all.", table=self._table)
                 # Once is cured by reading all at once; where it is gone again
                 # straight after that, nothing is gained by haste.
-                if gone_before:
-                    await asyncio.sleep(self._gone_pace.next_delay_s())
-                gone_before = True
+                if was_gone:
+                    await asyncio.sleep(self._history_backoff.next_delay_s())
+                was_gone = True
             except StoreUnavailable as error:
-                again_s = self._lost_pace.next_delay_s()
-                self._note_lost(error, again_s)
+                again_s = self._unavailable_backoff.next_delay_s()
+                self._on_lost(error, again_s)
                 await asyncio.sleep(again_s)
 
     @property
@@ -136,7 +136,7 @@
 
         None where there is none, or it was not there yet at a version.
         """
-        before = self._before_by_key.get(key)
+        before = self._previous_by_key.get(key)
         if before is None or before.version > version:
             return None
         return before
@@ -151,7 +151,7 @@
 
         Raises :class:`StoreUnavailable` where the table has yet to be read whole.
         """
-        self._check_whole()
+        self._check_complete()
         rows = (row for row in self._row_by_key.values() if row.value is not None)
         return TableChanges(tuple(rows), self._version)
 
@@ -161,7 +161,7 @@
         Raises :class:`HistoryGone` where removals since then may be missing, and
         :class:`StoreUnavailable` where the table has yet to be read whole.
         """
-        self._check_whole()
+        self._check_complete()
         if version < self._complete_from:
             raise HistoryGone(self._table)
         # Rows that came from other nodes may be newer than what is complete here; a
@@ -174,8 +174,8 @@
         rows.sort(key=lambda row: row.version)
         return TableChanges(tuple(rows), self._version)
 
-    def _check_whole(self) -> None:
-        if not self._whole:
+    def _check_complete(self) -> None:
+        if not self._is_complete:
             raise StoreUnavailable(self._table, "it has yet to be read whole")
 
     async def wait_for_change(self, within_s: float) -> None:
@@ -194,7 +194,7 @@
         is not known was removed, and nobody would tell of its removal again.
         """
         newer = (row for row in rows if row.version > self._version)
-        news = tuple(row for row in newer if self._is_news(row))
+        news = tuple(row for row in newer if self._apply_if_newer(row))
         if not news:
             return
         log(
@@ -210,20 +210,20 @@
 
     async def _step(self) -> bool:
         """Make one call; return whether it brought changes, and not the whole."""
-        if self._whole:
+        if self._is_complete:
             changes = await self._reader.feed(self._table, self._version, self._wait_s)
-            self._note_reached()
-            self._take(changes)
+            self._on_reached()
+            self._apply(changes)
             return True
         changes = await self._reader.read_table(self._table)
-        self._note_reached()
+        self._on_reached()
         if changes.version < self._version:
             raise StoreUnavailable(self._table, "an old state was read")
-        self._take_whole(changes)
+        self._apply_snapshot(changes)
         return False
 
-    def _take_whole(self, changes: TableChanges) -> None:
-        self._whole = True
+    def _apply_snapshot(self, changes: TableChanges) -> None:
+        self._is_complete = True
         self._complete_from = changes.version
         keys = {row.key for row in changes.rows}
         # What other nodes have told of may be newer than what was read.
@@ -234,58 +234,58 @@
         }
         for key in self._row_by_key.keys() - keys:
             del self._row_by_key[key]
-            self._before_by_key.pop(key, None)
-        self._take(changes)
-        self._on_whole(keys)
+            self._previous_by_key.pop(key, None)
+        self._apply(changes)
+        self._on_snapshot(keys)
 
-    def _take(self, changes: TableChanges) -> None:
-        news = tuple(row for row in changes.rows if self._is_news(row))
+    def _apply(self, changes: TableChanges) -> None:
+        news = tuple(row for row in changes.rows if self._apply_if_newer(row))
         self._version = max(self._version, changes.version)
         if news:
             self._on_rows(news, "store")
-            self._note_change()
+            self._wake_waiters()
 
-    def _note_change(self) -> None:
+    def _wake_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _is_news(self, row: StoredRow) -> bool:
-        known = self._row_by_key.get(row.key)
-        if known is not None and row.version <= known.version:
+    def _apply_if_newer(self, row: StoredRow) -> bool:
+        current = self._row_by_key.get(row.key)
+        if current is not None and row.version <= current.version:
             return False
-        if known is not None and known.is_large:
-            self._before_by_key[row.key] = known
+        if current is not None and current.is_large:
+            self._previous_by_key[row.key] = current
         else:
-            self._before_by_key.pop(row.key, None)
+            self._previous_by_key.pop(row.key, None)
         self._row_by_key[row.key] = row
         if row.value is None:
-            self._note_gone(row.key)
+            self._record_removal(row.key)
         return True
 
-    def _note_gone(self, key: str) -> None:
+    def _record_removal(self, key: str) -> None:
         """Remember that a row is gone, in place of the one that went first."""
-        self._gone_keys.append(key)
-        if len(self._gone_keys) <= MAX_GONE:
+        self._removed_keys.append(key)
+        if len(self._removed_keys) <= MAX_REMOVED_ROWS:
             return
-        first = self._row_by_key.get(self._gone_keys.popleft())
+        first = self._row_by_key.get(self._removed_keys.popleft())
         if first is not None and first.value is None:
             del self._row_by_key[first.key]
             self._complete_from = max(self._complete_from, first.version)
 
-    def _note_reached(self) -> None:
+    def _on_reached(self) -> None:
         self.confirmed_at = asyncio.get_running_loop().time()
         if not self.reachable:
             self.reachable = True
             lost_s = self.confirmed_at - self.lost_at
             log(Part.STORE, "Reached again.", table=self._table, lost_s=lost_s)
-            self._on_return()
+            self._on_store_recovered()
 
-    def _note_lost(self, error: StoreUnavailable, again_s: float) -> None:
+    def _on_lost(self, error: StoreUnavailable, again_s: float) -> None:
         first = self.reachable
         if first:
             self.reachable = False
             self.lost_at = asyncio.get_running_loop().time()
-            self._note_change()
+            self._wake_waiters()
         log(
             Part.STORE,
             "Lost." if first else "Still lost.",
--- a/packages/node/src/eelgrass_node/process/supervision.py
+++ b/packages/node/src/eelgrass_node/process/supervision.py
@@ -9,7 +9,7 @@
 
 # Between two starts of work that fails by itself; short against the seconds in
 # which a change must be in force.
-AGAIN_S = 0.5
+RESTART_DELAY_S = 0.5
 
 
 async def keep_running(work: Callable[[], Awaitable[None]]) -> None:
@@ -25,4 +25,4 @@
         except Exception as error:  # noqa: BLE001
             name = getattr(work, "__qualname__", repr(work))
             log(Part.NODE, "Work failed and begins anew.", work=name, error=repr(error))
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RESTART_DELAY_S)
--- a/packages/node/src/eelgrass_node/process/table_relay.py
+++ b/packages/node/src/eelgrass_node/process/table_relay.py
@@ -39,16 +39,16 @@
 BACKOFF_S = 3.0
 # What a node read from the store itself this long ago still makes it a relay: the
 # pause, the wait and the slack until its next answer begins (1.6 s).
-FRESH_S = 2.0
+STORE_READ_MAX_AGE_S = 2.0
 # An answer of the store that still comes makes a node a relay for as long. A slower one
 # holds up its followers, which the store may answer sooner.
-ARRIVING_S = 2.0
+MAX_RECEIVE_S = 2.0
 
 # A node that has just started and read a table from the store asks for changes after
 # this. The members of a fleet that starts as a whole agree meanwhile, and it finds its
 # relay in place of the store. What was read is that old then, which leaves more than
 # half of the 2 s within which a change must be in force.
-SETTLE_S = 0.5
+MEMBERSHIP_SETTLE_S = 0.5
 
 # Gets an address, a table, a version (None for the whole table) and a wait.
 AskRelay = Callable[[str, str, int | None, float], Awaitable[TableChanges]]
@@ -64,13 +64,13 @@
 
     There is none for the first of its data centre, which asks the store.
     """
-    near = [
+    local = [
         member
         for member in members
         if member.data_centre == own.data_centre and member.state is MemberState.ALIVE
     ]
-    able = high_capacity_nodes([*near, own], lambda member: member.capacity)
-    order = ranked(able, f"table/{table}", name=lambda member: member.id)
+    candidates = high_capacity_nodes([*local, own], lambda member: member.capacity)
+    order = ranked(candidates, f"table/{table}", name=lambda member: member.id)
     before_own = takewhile(lambda member: member.id != own.id, order)
     return list(islice(before_own, RELAYS))
 
@@ -97,31 +97,31 @@
         store: StoreReader,
         relays: Callable[[str], Sequence[Member]],
         ask: AskRelay,
-        pause_s_by_table: Mapping[str, float],
+        feed_delay_s_by_table: Mapping[str, float],
         clock: Callable[[], float],
     ) -> None:
         self._store = store
         self._relays = relays
         self._ask = ask
-        self._pause_s_by_table = pause_s_by_table
+        self._feed_delay_s_by_table = feed_delay_s_by_table
         self._clock = clock
         self._read_at_by_table: dict[str, float] = {}
-        self._distrusted_until: dict[str, float] = {}
+        self._backed_off_until: dict[str, float] = {}
         # Tables about which the store did not answer when it was last asked.
-        self._lost_tables: set[str] = set()
-        self._known_by_table: dict[str, int] = {}
-        self._answered_tables: set[str] = set()
-        self._unsettled_tables: set[str] = set()
+        self._unavailable_tables: set[str] = set()
+        self._version_by_table: dict[str, int] = {}
+        self._answering_tables: set[str] = set()
+        self._just_read_tables: set[str] = set()
         self._source_by_table: dict[str, str] = {}
 
     def reads_from_store(self, table: str) -> bool:
         """Return whether this node has just read a table from the store, or does."""
         since = self._store.arriving_since(table)
-        if since is not None and self._clock() - since <= ARRIVING_S:
+        if since is not None and self._clock() - since <= MAX_RECEIVE_S:
             # Followers would read the same from the store, each over its own link.
             return True
         read_at = self._read_at_by_table.get(table, float("-inf"))
-        return self._clock() - read_at <= FRESH_S
+        return self._clock() - read_at <= STORE_READ_MAX_AGE_S
 
     async def read_table(self, table: str) -> TableChanges:
         """Return all rows of a table, from a relay or from the store.
@@ -129,12 +129,12 @@
         A relay whose state is older than what this node knows is passed over.
         """
         changes = await self._ask_relays(table, None)
-        if changes and changes.version >= self._known_by_table.get(table, -1):
+        if changes and changes.version >= self._version_by_table.get(table, -1):
             return changes
         changes = await self._ask_store(table, self._store.read_table(table))
         if table not in self._source_by_table:
-            self._unsettled_tables.add(table)
-        self._note_read(table)
+            self._just_read_tables.add(table)
+        self._record_store_read(table)
         return changes
 
     async def feed(self, table: str, after: int, wait_s: float) -> TableChanges:
@@ -143,14 +143,14 @@
         A relay that has lost the store says nothing of whether the store answers
         this node, so it is asked in any case, and how often is for the caller to say.
         """
-        self._known_by_table[table] = after
-        if table in self._unsettled_tables:
-            self._unsettled_tables.discard(table)
-            self._answered_tables.add(table)
-            await asyncio.sleep(SETTLE_S)
+        self._version_by_table[table] = after
+        if table in self._just_read_tables:
+            self._just_read_tables.discard(table)
+            self._answering_tables.add(table)
+            await asyncio.sleep(MEMBERSHIP_SETTLE_S)
         changes = await self._ask_relays(table, after)
         if changes is not None:
-            self._answered_tables.discard(table)
+            self._answering_tables.discard(table)
             return changes
         return await self._feed_from_store(table, after, wait_s)
 
@@ -160,36 +160,36 @@
         After one that was silent, or answered only at the end of its wait, no other is
         asked: their waits would add up to more than a change may take.
         """
-        last_at = self._clock() + RELAY_WAIT_S
-        for relay in self._worth_asking(table):
+        retry_until = self._clock() + RELAY_WAIT_S
+        for relay in self._relays_to_ask(table):
             try:
                 changes = await self._ask(
                     relay.internal, table, after, self._wait_s(relay, table)
                 )
             except PeerUnreachable as error:
-                self._note_failure(relay, table, error)
+                self._back_off(relay, table, error)
                 return None
             except StoreUnavailable:
                 # The store may have turned away this one alone.
-                if self._clock() >= last_at:
+                if self._clock() >= retry_until:
                     return None
                 continue
-            self._distrusted_until.pop(relay.id, None)
-            self._note_source(table, relay.id)
+            self._backed_off_until.pop(relay.id, None)
+            self._record_source(table, relay.id)
             return changes
         return None
 
-    def _worth_asking(self, table: str) -> list[Member]:
+    def _relays_to_ask(self, table: str) -> list[Member]:
         """Return the relays to ask, in order: one that failed lately is passed over.
 
         Where the store does not answer this node either, it comes after the others:
         nobody else would tell the node that it is well again.
         """
         relays = self._relays(table)
-        trusted = [relay for relay in relays if self._is_trusted(relay)]
-        if table not in self._lost_tables:
-            return trusted
-        return [*trusted, *(relay for relay in relays if relay not in trusted)]
+        eligible = [relay for relay in relays if self._is_eligible(relay)]
+        if table not in self._unavailable_tables:
+            return eligible
+        return [*eligible, *(relay for relay in relays if relay not in eligible)]
 
     def _wait_s(self, relay: Member, table: str) -> float:
         """Return how long a relay may wait for changes.
@@ -198,21 +198,21 @@
         after the time that it took to lose the source before it.
         """
         is_source = self._source_by_table.get(table) == relay.id
-        return RELAY_WAIT_S if is_source and self._is_trusted(relay) else 0.0
+        return RELAY_WAIT_S if is_source and self._is_eligible(relay) else 0.0
 
     async def _feed_from_store(
         self, table: str, after: int, wait_s: float
     ) -> TableChanges:
-        if table in self._answered_tables:
-            await asyncio.sleep(self._pause_s_by_table.get(table, 0.0))
+        if table in self._answering_tables:
+            await asyncio.sleep(self._feed_delay_s_by_table.get(table, 0.0))
         else:
             # A call that does not wait tells soonest whether the store answers, and
             # is given up a second earlier where it does not.
             wait_s = 0.0
-        self._answered_tables.discard(table)
+        self._answering_tables.discard(table)
         changes = await self._ask_store(table, self._store.feed(table, after, wait_s))
-        self._answered_tables.add(table)
-        self._note_read(table)
+        self._answering_tables.add(table)
+        self._record_store_read(table)
         return changes
 
     async def _ask_store(
@@ -221,16 +221,16 @@
         try:
             changes = await call
         except StoreUnavailable:
-            self._lost_tables.add(table)
+            self._unavailable_tables.add(table)
             raise
-        self._lost_tables.discard(table)
+        self._unavailable_tables.discard(table)
         return changes
 
-    def _note_read(self, table: str) -> None:
+    def _record_store_read(self, table: str) -> None:
         self._read_at_by_table[table] = self._clock()
-        self._note_source(table, "store")
+        self._record_source(table, "store")
 
-    def _note_source(self, table: str, source: str) -> None:
+    def _record_source(self, table: str, source: str) -> None:
         before = self._source_by_table.get(table)
         if source == before:
             return
@@ -243,11 +243,11 @@
             before=before,
         )
 
-    def _is_trusted(self, relay: Member) -> bool:
-        return self._distrusted_until.get(relay.id, 0.0) <= self._clock()
+    def _is_eligible(self, relay: Member) -> bool:
+        return self._backed_off_until.get(relay.id, 0.0) <= self._clock()
 
-    def _note_failure(self, relay: Member, table: str, error: PeerUnreachable) -> None:
-        self._distrusted_until[relay.id] = self._clock() + BACKOFF_S
+    def _back_off(self, relay: Member, table: str, error: PeerUnreachable) -> None:
+        self._backed_off_until[relay.id] = self._clock() + BACKOFF_S
         log(
             Part.STORE,
             "The relay of a table does not answer; reading the store.",
@@ -266,7 +266,7 @@
         reads_from_store: Callable[[str], bool],
     ) -> None:
         self._table_by_name = table_by_name
-        self._reads_itself = reads_from_store
+        self._reads_from_store = reads_from_store
 
     def previous_large_row(self, name: str, key: str, version: int) -> StoredRow | None:
         """Return the large row that the one of a key replaced after a version."""
@@ -288,7 +288,7 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + wait_s
         while True:
-            if not table.reachable or not self._reads_itself(name):
+            if not table.reachable or not self._reads_from_store(name):
                 raise StoreUnavailable(name, "this node does not read the store")
             if after is None:
                 return table.snapshot()
--- a/packages/node/tests/test_deployments.py
+++ b/packages/node/tests/test_deployments.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from eelgrass_node.process.deployments import AWAITED_S, DeploymentInForce
+from eelgrass_node.process.deployments import ANNOUNCEMENT_TIMEOUT_S, DeploymentInForce
 from eelgrass_node.version.deployment import CallerLimits, Deployment
 from support.simulated_time import run_in_simulated_time
 
@@ -50,7 +50,7 @@
         async def main():
             found = deployments()
             found.apply(b"42", "store")
-            for _ in range(int(AWAITED_S) + 2):
+            for _ in range(int(ANNOUNCEMENT_TIMEOUT_S) + 2):
                 found.on_number_announced(51)
                 await asyncio.sleep(1.0)
             gone = found.superseded
@@ -66,7 +66,7 @@
             found = deployments()
             found.apply(b"42", "store")
             found.on_number_announced(10**9)
-            await asyncio.sleep(AWAITED_S + 1.0)
+            await asyncio.sleep(ANNOUNCEMENT_TIMEOUT_S + 1.0)
             found.on_number_announced(43)
             states = [found.superseded]
             found.on_number_announced(10**9)
@@ -82,11 +82,11 @@
             found = deployments()
             found.apply(b"42", "store")
             states = []
-            for _ in range(4 * int(AWAITED_S)):
+            for _ in range(4 * int(ANNOUNCEMENT_TIMEOUT_S)):
                 found.on_number_announced(51)
                 states.append(found.superseded)
                 await asyncio.sleep(1.0)
-            return states[int(AWAITED_S) + 1 :]
+            return states[int(ANNOUNCEMENT_TIMEOUT_S) + 1 :]
 
         assert not any(run_in_simulated_time(main()))
 
@@ -97,10 +97,10 @@
             found = deployments()
             found.apply(b"42", "store")
             states = []
-            for second in range(6 * int(AWAITED_S)):
+            for second in range(6 * int(ANNOUNCEMENT_TIMEOUT_S)):
                 found.on_number_announced(51 + second % 2)
                 states.append(found.superseded)
                 await asyncio.sleep(1.0)
-            return states[2 * int(AWAITED_S) + 4 :]
+            return states[2 * int(ANNOUNCEMENT_TIMEOUT_S) + 4 :]
 
         assert not any(run_in_simulated_time(main()))
--- a/packages/node/tests/test_gone_rows.py
+++ b/packages/node/tests/test_gone_rows.py
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 async def table(monkeypatch):
-    monkeypatch.setattr(store_tables_module, "MAX_GONE", MOST_GONE)
+    monkeypatch.setattr(store_tables_module, "MAX_REMOVED_ROWS", MOST_GONE)
     store = EndlessStore(40)
     followed = table_replica(store, "t")
     task = asyncio.create_task(followed.run())
--- a/packages/node/tests/test_row_difference.py
+++ b/packages/node/tests/test_row_difference.py
@@ -78,8 +78,8 @@
     async def feed(self):
         older, newer = configured(5), configured(6)
         table = table_replica(None, TABLE)
-        table._take_whole(changes(5, older))
-        table._take(changes(6, newer))
+        table._apply_snapshot(changes(5, older))
+        table._apply(changes(6, newer))
         app = web.Application()
         TableFeedInterface(TableRelay({TABLE: table}, lambda name: True)).add_routes(
             app
@@ -118,9 +118,9 @@
 
     async def test_one_that_knew_less_than_the_row_before_gets_it_whole(self, feed):
         table = table_replica(None, TABLE)
-        table._take_whole(changes(4))
-        table._take(changes(5, feed.older))
-        table._take(changes(6, feed.newer))
+        table._apply_snapshot(changes(4))
+        table._apply(changes(5, feed.older))
+        table._apply(changes(6, feed.newer))
         assert table.previous_large_row("config", 4) is None
         assert table.previous_large_row("config", 5) == feed.older
 
--- a/packages/node/tests/test_store_backoff.py
+++ b/packages/node/tests/test_store_backoff.py
@@ -9,11 +9,11 @@
 
 
 class TestFollowPace:
-    @pytest.mark.parametrize("promised_s", [2.0, 3.0, 4.0])
-    def test_a_call_without_answer_and_a_pause_fit_into_the_promise(self, promised_s):
-        pace = StoreBackoff(promised_s)
+    @pytest.mark.parametrize("deadline_s", [2.0, 3.0, 4.0])
+    def test_a_call_without_answer_and_a_pause_fit_into_the_promise(self, deadline_s):
+        pace = StoreBackoff(deadline_s)
         pauses = [pace.next_delay_s() for _ in range(1000)]
-        assert FULL_READ_RESPONSE_TIMEOUT_S + max(pauses) <= promised_s * 0.9 + 1e-9
+        assert FULL_READ_RESPONSE_TIMEOUT_S + max(pauses) <= deadline_s * 0.9 + 1e-9
 
     def test_pauses_grow_and_vary(self):
         pace = StoreBackoff(4.0)
--- a/packages/node/tests/test_store_following.py
+++ b/packages/node/tests/test_store_following.py
@@ -57,8 +57,8 @@
         script,
         "t",
         on_rows=lambda rows, source: taken.extend((r.key, r.version) for r in rows),
-        on_whole=whole.append,
-        on_return=lambda: whole.append("returned"),
+        on_snapshot=whole.append,
+        on_store_recovered=lambda: whole.append("returned"),
     )
     task = asyncio.create_task(table.run())
     async with asyncio.timeout(5):
@@ -279,7 +279,7 @@
 
 class TestSupervision:
     async def test_work_that_fails_unexpectedly_begins_anew(self, monkeypatch):
-        monkeypatch.setattr(supervision, "AGAIN_S", 0.01)
+        monkeypatch.setattr(supervision, "RESTART_DELAY_S", 0.01)
         began = []
 
         async def work():
--- a/packages/node/tests/test_store_return.py
+++ b/packages/node/tests/test_store_return.py
@@ -44,7 +44,7 @@
         newest = day.change()
         await running
         return {
-            node.id: day.taken_at.get((node.id, newest), 99.0) - silent.end
+            node.id: day.applied_at.get((node.id, newest), 99.0) - silent.end
             for node in day.members
             if node.id != relay
         }
@@ -92,7 +92,7 @@
                 (node, number, self.late_s(outages, node, at, taken))
                 for node in nodes
                 for number, at in changed_at.items()
-                for taken in [day.taken_at.get((node, number), 99.0)]
+                for taken in [day.applied_at.get((node, number), 99.0)]
             ),
             *(
                 (node, "i1", self.late_s(outages, node, removed_at, taken))
@@ -102,14 +102,14 @@
         ]
 
     @staticmethod
-    def late_s(outages, node, changed_at, taken_at):
+    def late_s(outages, node, changed_at, applied_at):
         """Return how late a change was, from when the store answers the node."""
         last = changed_at
         for outage in sorted(outages, key=lambda outage: outage.begin):
             # An outage that begins before the promise has run out holds it up.
-            if outage.hits(node, changed_at, last + IN_FORCE_S):
+            if outage.affects(node, changed_at, last + IN_FORCE_S):
                 last = max(last, outage.end)
-        return taken_at - last
+        return applied_at - last
 
     def test_a_change_is_in_force_in_time(self):
         late = [
@@ -134,17 +134,17 @@
 class TestCalls:
     """Each call is paid for: in an outage 82 nodes once made 4,000 in 8 s."""
 
-    async def calls_per_node(self, promised_s, refuses):
-        day = StoreSimulation([Outage(5.0, 13.0, None, refuses)], promised_s=promised_s)
+    async def calls_per_node(self, deadline_s, refuses):
+        day = StoreSimulation([Outage(5.0, 13.0, None, refuses)], deadline_s=deadline_s)
         day.change()
         day.list_server("i1")
         calls = await day.calls_between(5.0, 13.0, until=14.0)
         return calls / len(day.members)
 
     @pytest.mark.parametrize(
-        ("promised_s", "refuses", "most"),
+        ("deadline_s", "refuses", "most"),
         [(2.0, True, 27), (2.0, False, 15), (3.0, True, 17), (3.0, False, 12)],
     )
-    def test_an_outage_of_all_costs_few(self, promised_s, refuses, most):
+    def test_an_outage_of_all_costs_few(self, deadline_s, refuses, most):
         random.seed(0)
-        assert run_in_simulated_time(self.calls_per_node(promised_s, refuses)) <= most
+        assert run_in_simulated_time(self.calls_per_node(deadline_s, refuses)) <= most
--- a/packages/node/tests/test_table_relay.py
+++ b/packages/node/tests/test_table_relay.py
@@ -10,8 +10,8 @@
 from eelgrass_node.process import platform_tables, table_relay
 from eelgrass_node.process.store_backoff import RESPONSE_TIMEOUT_S
 from eelgrass_node.process.table_relay import (
-    ARRIVING_S,
     BACKOFF_S,
+    MAX_RECEIVE_S,
     RELAY_WAIT_S,
     RelayedReader,
     TableRelay,
@@ -61,8 +61,8 @@
         return found
 
     def test_all_nodes_of_a_data_centre_agree(self):
-        near = [member(f"n{n}") for n in range(27)]
-        assert len(self.relays(near)) == 1
+        local = [member(f"n{n}") for n in range(27)]
+        assert len(self.relays(local)) == 1
 
     def test_other_data_centres_have_relays_of_their_own(self):
         members = [member(f"n{n}", "abc"[n % 3]) for n in range(9)]
@@ -73,11 +73,11 @@
         assert self.relays([*members, member("strong")]) == {"strong"}
 
     def test_a_suspect_is_not_asked(self):
-        near = [member(f"n{n}") for n in range(5)]
-        relay = relay_of(member("own"), near, TABLE)
+        local = [member(f"n{n}") for n in range(5)]
+        relay = relay_of(member("own"), local, TABLE)
         assert relay is not None
         suspect = msgspec.structs.replace(relay, state=MemberState.SUSPECT)
-        others = [suspect if m.id == relay.id else m for m in near]
+        others = [suspect if m.id == relay.id else m for m in local]
         assert relay_of(member("own"), others, TABLE) != suspect
 
 
@@ -138,13 +138,13 @@
         self.clock.now += 10.0
         assert not self.reader.reads_from_store(TABLE)
         self.store.since = self.clock.now
-        self.clock.now += ARRIVING_S
+        self.clock.now += MAX_RECEIVE_S
         assert self.reader.reads_from_store(TABLE)
 
     async def test_one_to_which_it_comes_too_slowly_is_none(self):
         """Its followers are told of no change meanwhile, and did not ask the store."""
         self.store.since = self.clock.now
-        self.clock.now += ARRIVING_S + 0.1
+        self.clock.now += MAX_RECEIVE_S + 0.1
         assert not self.reader.reads_from_store(TABLE)
 
     async def test_a_relay_that_does_not_know_the_version_says_so(self):
@@ -240,7 +240,7 @@
     )
     def test_a_relay_stays_one_until_its_next_answer(self, pause_s, wait_s):
         """Longer waits made its followers go to the store after each of them."""
-        assert pause_s + wait_s + RESPONSE_TIMEOUT_S < table_relay.FRESH_S
+        assert pause_s + wait_s + RESPONSE_TIMEOUT_S < table_relay.STORE_READ_MAX_AGE_S
 
 
 class TestWholeReads:
@@ -281,7 +281,7 @@
 
     def test_each_node_asks_the_store_once_for_each_table(self):
         async def main():
-            day = StoreSimulation(nodes=39, agreed_at=0.4)
+            day = StoreSimulation(nodes=39, members_known_at=0.4)
             day.change()
             await day.run(3.0)
             return day.store.calls
@@ -291,14 +291,14 @@
 
     def test_a_change_just_after_the_first_read_is_in_force_in_time(self):
         async def main():
-            day = StoreSimulation(nodes=39, agreed_at=0.4)
+            day = StoreSimulation(nodes=39, members_known_at=0.4)
             day.change()
             running = asyncio.create_task(day.run(4.0))
             await asyncio.sleep(0.01)
             changed_at = asyncio.get_running_loop().time()
             number = day.change()
             await running
-            return [day.taken_at[m.id, number] - changed_at for m in day.members]
+            return [day.applied_at[m.id, number] - changed_at for m in day.members]
 
         assert max(run_in_simulated_time(main())) <= PROPAGATION_DEADLINE_S
 
@@ -327,18 +327,18 @@
         self.relay = TableRelay(
             {TABLE: self.table}, lambda table: self.reads_from_store
         )
-        self.table._take_whole(changes(5, row("a", 3)))
+        self.table._apply_snapshot(changes(5, row("a", 3)))
 
     async def test_changes_wake_those_that_wait(self):
         asked = asyncio.create_task(self.relay.changes(TABLE, 5, 2.0))
         await asyncio.sleep(0.01)
         assert not asked.done()
-        self.table._take(changes(7, row("a", 6, None), row("b", 7)))
+        self.table._apply(changes(7, row("a", 6, None), row("b", 7)))
         found = await asyncio.wait_for(asked, 0.5)
         assert found == changes(7, row("a", 6, None), row("b", 7))
 
     async def test_the_whole_table_is_without_what_is_gone(self):
-        self.table._take(changes(7, row("a", 6, None), row("b", 7)))
+        self.table._apply(changes(7, row("a", 6, None), row("b", 7)))
         found = await self.relay.changes(TABLE, None, 2.0)
         assert found == changes(7, row("b", 7))
 
@@ -347,7 +347,7 @@
 
     async def test_removals_that_it_did_not_see_are_not_hidden(self):
         """After lost history a whole read shows what is there, not what went."""
-        self.table._take_whole(changes(9))
+        self.table._apply_snapshot(changes(9))
         with pytest.raises(HistoryGone):
             await self.relay.changes(TABLE, 5, 0.02)
         assert await self.relay.changes(TABLE, 9, 0.02) == changes(9)
@@ -356,19 +356,19 @@
         """They are newer than what is complete here, and would come back for ever."""
         self.table.apply_peer_rows((row("a", 9),), "n1:1")
         assert await self.relay.changes(TABLE, 5, 0.02) == changes(5)
-        self.table._take(changes(10))
+        self.table._apply(changes(10))
         found = await self.relay.changes(TABLE, 5, 0.02)
         assert found == changes(10, row("a", 9))
 
     async def test_a_lost_store_ends_the_wait(self):
         asked = asyncio.create_task(self.relay.changes(TABLE, 5, 2.0))
         await asyncio.sleep(0.01)
-        self.table._note_lost(StoreUnavailable(TABLE, "down"), 0.3)
+        self.table._on_lost(StoreUnavailable(TABLE, "down"), 0.3)
         with pytest.raises(StoreUnavailable):
             await asyncio.wait_for(asked, 0.5)
 
     async def test_one_that_reads_the_table_anew_is_none_meanwhile(self):
-        self.table._whole = False
+        self.table._is_complete = False
         with pytest.raises(StoreUnavailable):
             await self.relay.changes(TABLE, 5, 0.02)
 
--- a/packages/node/tests/test_version_paths.py
+++ b/packages/node/tests/test_version_paths.py
@@ -151,21 +151,23 @@
             deployments._on_advance(deployments.number)
 
         async def believe_any(table):
-            if table._whole:
-                table._take(await table._reader.feed(table._table, table._version, 0.5))
+            if table._is_complete:
+                table._apply(
+                    await table._reader.feed(table._table, table._version, 0.5)
+                )
             else:
-                table._take_whole(await table._reader.read_table(table._table))
-            return table._whole
+                table._apply_snapshot(await table._reader.read_table(table._table))
+            return table._is_complete
 
         monkeypatch.setattr(DeploymentInForce, "apply", take_any)
         monkeypatch.setattr(TableReplica, "_step", believe_any)
-        monkeypatch.setattr(TableReplica, "_is_news", lambda table, row: True)
+        monkeypatch.setattr(TableReplica, "_apply_if_newer", lambda table, row: True)
         old = StaleReads(3.0, 3.3, 1.5)
         assert "back" in self.kinds(Plan("a", (Change(2.0),), (old,), (3.0,)))
 
     def test_another_node_brings_a_removed_row_back(self, monkeypatch):
         def take_all(table, rows, node):
-            news = tuple(row for row in rows if table._is_news(row))
+            news = tuple(row for row in rows if table._apply_if_newer(row))
             table._on_rows(news, node)
 
         monkeypatch.setattr(TableReplica, "apply_peer_rows", take_all)
--- a/tests/support/path_store.py
+++ b/tests/support/path_store.py
@@ -10,7 +10,7 @@
 __all__ = ["PathStore"]
 
 # Old states are shown in every other stretch of this length.
-STALE_STRETCH_S = 0.35
+STALE_PERIOD_S = 0.35
 
 
 class PathStore(Store):
@@ -33,7 +33,7 @@
         """Answer a whole read."""
         self.called_at.append((node, _now()))
         answer = await super().read(node, table)
-        await asyncio.sleep(self._late_s())
+        await asyncio.sleep(self._delay_s())
         rows = tuple(row for row in answer.rows if row.value is not None)
         return TableChanges(rows, answer.version)
 
@@ -43,15 +43,15 @@
         """Answer a call for changes."""
         self.called_at.append((node, _now()))
         answer = await super().feed(node, table, after, wait_s)
-        await asyncio.sleep(self._late_s())
+        await asyncio.sleep(self._delay_s())
         return answer
 
-    def _late_s(self) -> float:
+    def _delay_s(self) -> float:
         return max((h.by_s for h in self._slow if h.begin <= _now() < h.end), default=0)
 
     def _rows(self, table: str, after: int) -> TableChanges:
         shown = next((h for h in self._stale if h.begin <= _now() < h.end), None)
-        if shown is None or int((_now() - shown.begin) / STALE_STRETCH_S) % 2:
+        if shown is None or int((_now() - shown.begin) / STALE_PERIOD_S) % 2:
             return super()._rows(table, after)
         row_by_key = {}
         version = 0
--- a/tests/support/recording_server_list.py
+++ b/tests/support/recording_server_list.py
@@ -10,8 +10,8 @@
 class RecordingServerList:
     """Tells each row that is taken with its version, one that is gone with None."""
 
-    def __init__(self, note: Callable[[str, int | None], None]) -> None:
-        self._note = note
+    def __init__(self, record: Callable[[str, int | None], None]) -> None:
+        self._record = record
         self._listed: set[str] = set()
 
     def apply_rows(self, rows: tuple[StoredRow, ...]) -> None:
@@ -19,7 +19,7 @@
         for row in rows:
             if row.value is not None:
                 self._listed.add(row.key)
-                self._note(row.key, row.version)
+                self._record(row.key, row.version)
             else:
                 self._remove(row.key)
 
@@ -34,4 +34,4 @@
     def _remove(self, key: str) -> None:
         if key in self._listed:
             self._listed.remove(key)
-            self._note(key, None)
+            self._record(key, None)
--- a/tests/support/store_rows.py
+++ b/tests/support/store_rows.py
@@ -54,15 +54,15 @@
 
 
 def table_replica(
-    reader: TableReader, table: str, **told: Callable[..., Any]
+    reader: TableReader, table: str, **callbacks: Callable[..., Any]
 ) -> TableReplica:
     """Return a table that tells of nothing but what ``told`` takes."""
     return TableReplica(
         reader,
         table,
-        told.get("on_rows", lambda rows, source: None),
-        told.get("on_whole", lambda keys: None),
-        told.get("on_return", lambda: None),
+        callbacks.get("on_rows", lambda rows, source: None),
+        callbacks.get("on_snapshot", lambda keys: None),
+        callbacks.get("on_store_recovered", lambda: None),
         WAIT_S,
         PROPAGATION_DEADLINE_S,
     )
--- a/tests/support/store_simulation.py
+++ b/tests/support/store_simulation.py
@@ -50,10 +50,10 @@
     nodes: frozenset[str] | None = None
     refuses: bool = False
 
-    def hits(self, node: str, begin: float, end: float) -> bool:
+    def affects(self, node: str, begin: float, end: float) -> bool:
         """Return whether it overlaps a call of ``node``."""
-        meant = self.nodes is None or node in self.nodes
-        return meant and begin < self.end and end >= self.begin
+        affected = self.nodes is None or node in self.nodes
+        return affected and begin < self.end and end >= self.begin
 
 
 class Store:
@@ -111,7 +111,7 @@
     ) -> None:
         self.calls += 1
         for outage in self.outages:
-            if outage.hits(node, begun, _now()):
+            if outage.affects(node, begun, _now()):
                 if not outage.refuses:
                     await asyncio.sleep(begun + within_s - _now())
                 raise StoreUnavailable(table, "out of order")
@@ -158,14 +158,14 @@
         self,
         outages: Iterable[Outage] = (),
         nodes: int = 3,
-        promised_s: float = PROPAGATION_DEADLINE_S,
-        agreed_at: float = 0.0,
+        deadline_s: float = PROPAGATION_DEADLINE_S,
+        members_known_at: float = 0.0,
     ) -> None:
         self.store = Store(outages)
-        self._agreed_at = agreed_at
+        self._members_known_at = members_known_at
         self.members = [member(f"n{number}") for number in range(nodes)]
-        self._promised_s = promised_s
-        self.taken_at: dict[tuple[str, int], float] = {}
+        self._deadline_s = deadline_s
+        self.applied_at: dict[tuple[str, int], float] = {}
         self.removed_at: dict[tuple[str, str], float] = {}
         self._tables_by_node = {m.id: self._tables(m) for m in self.members}
         self._numbers = itertools.count(1)
@@ -216,7 +216,7 @@
         deployments = DeploymentInForce(
             "config",
             lambda raw: Deployment(int(raw), {}, {}, {}, False, CallerLimits(1, 1.0)),
-            lambda number: self._note_taken(own.id, number),
+            lambda number: self._record_applied(own.id, number),
         )
         return PlatformTables(
             TableNames(OPERATOR, SERVERS, "crashes"),
@@ -226,26 +226,26 @@
             lambda: self._others(own),
             deployments=deployments,
             server_list=RecordingServerList(
-                lambda server, version: self._note_server(own.id, server, version)
+                lambda server, version: self._record_server(own.id, server, version)
             ),
             crashes=idle_crash_table(),
             evacuations=idle_evacuations(),
-            apply_s=self._promised_s,
-            drain_s=self._promised_s,
-            evacuate_s=self._promised_s,
+            apply_s=self._deadline_s,
+            drain_s=self._deadline_s,
+            evacuate_s=self._deadline_s,
             clock=_now,
         )
 
     def _others(self, own: Member) -> list[Member]:
-        if _now() < self._agreed_at:
+        if _now() < self._members_known_at:
             return []
         return [other for other in self.members if other.id != own.id]
 
-    def _note_taken(self, node: str, number: int) -> None:
+    def _record_applied(self, node: str, number: int) -> None:
         for earlier in range(1, number + 1):
-            self.taken_at.setdefault((node, earlier), _now())
+            self.applied_at.setdefault((node, earlier), _now())
 
-    def _note_server(self, node: str, server: str, version: int | None) -> None:
+    def _record_server(self, node: str, server: str, version: int | None) -> None:
         if version is None:
             self.removed_at.setdefault((node, server), _now())
 
--- a/tests/support/version_guarantees.py
+++ b/tests/support/version_guarantees.py
@@ -37,11 +37,11 @@
 # A node follows two tables, each with a call a second, or one in 0.9 s.
 QUIET_CALLS = 3
 # The same in any second in which nothing changes, whatever the harm.
-HARMED_CALLS = 8
+FAULT_CALLS = 8
 # For each history that was forgotten, which may show only at the end of an outage: a
 # whole read and the next call for changes, of both tables, and the same again where
 # the store first shows the state of before.
-FORGET_CALLS = 8
+HISTORY_LOSS_CALLS = 8
 # Harm and changes are over for so long before calls are those of a quiet store.
 SETTLED_S = 3.0
 
@@ -49,34 +49,34 @@
 def guarantee_violations(day: VersionSimulation) -> list[str]:
     """Return all that a day has broken."""
     return [
-        *versions_back(day),
-        *rows_back(day),
+        *version_regressions(day),
+        *resurrected_rows(day),
         *late_changes(day),
-        *needless_calls(day),
+        *excess_calls(day),
     ]
 
 
-def versions_back(day: VersionSimulation) -> Iterable[str]:
+def version_regressions(day: VersionSimulation) -> Iterable[str]:
     """A version in force never goes back within one life."""
-    for life in day.processes:
-        numbers = [number for _, number in life.versions]
+    for process in day.processes:
+        numbers = [number for _, number in process.versions]
         for earlier, later in zip(numbers, numbers[1:], strict=False):
             if later < earlier:
-                yield f"back: {life.own.id} has {later} after {earlier}"
+                yield f"back: {process.own.id} has {later} after {earlier}"
 
 
-def rows_back(day: VersionSimulation) -> Iterable[str]:
+def resurrected_rows(day: VersionSimulation) -> Iterable[str]:
     """A removed row never comes back within one life, but by a later listing."""
-    for life in day.processes:
+    for process in day.processes:
         removal_by_server: dict[str, int] = {}
         listed_by_server: dict[str, int] = {}
-        for at, server, version in life.servers:
+        for at, server, version in process.servers:
             if version is None:
                 listed = listed_by_server.pop(server)
                 removal_by_server[server] = _removal_after(day, server, listed)
             else:
                 if version <= removal_by_server.get(server, -1):
-                    yield f"row back: {life.own.id} has {server} again at {at:.2f}"
+                    yield f"row back: {process.own.id} has {server} again at {at:.2f}"
                 listed_by_server[server] = version
 
 
@@ -96,8 +96,10 @@
     for change, number in day.confirmed:
         for own in day.members:
             due = _due(day, change, number, own.id)
-            life = _life_at(day, own.id, due)
-            if life is not None and not _has(day, life, change, number, due):
+            process = _process_at(day, own.id, due)
+            if process is not None and not _has_applied(
+                day, process, change, number, due
+            ):
                 what = change.server or "configuration"
                 yield (
                     f"late: {own.id} lacks {what} {number}, confirmed at "
@@ -117,7 +119,7 @@
             others = [other for other in day.members if other.id != own.id]
             relay = relay_of(own, others, SERVERS)
             if change.server is not None and relay is not None:
-                yield from _late_through(day, change, number, own.id, relay.id)
+                yield from _late_through_relay(day, change, number, own.id, relay.id)
 
 
 def late_through_any_relay(day: VersionSimulation) -> Iterable[str]:
@@ -131,17 +133,19 @@
             others = [other for other in day.members if other.id != own.id]
             for relay in relays_of(own, others, SERVERS):
                 if change.server is not None:
-                    yield from _late_through(day, change, number, own.id, relay.id)
+                    yield from _late_through_relay(
+                        day, change, number, own.id, relay.id
+                    )
 
 
-def _late_through(
+def _late_through_relay(
     day: VersionSimulation, change: Change, number: int, node: str, relay: str
 ) -> Iterable[str]:
     due = _due_by_relay(day, change, number, node, relay)
     if due is None:
         return
-    life = _life_at(day, node, due)
-    if life and not _has(day, life, change, number, due):
+    process = _process_at(day, node, due)
+    if process and not _has_applied(day, process, change, number, due):
         yield (
             f"late through its relay: {node} lacks {change.server} {number}, "
             f"confirmed at {change.at:.2f}, when it was due at {due:.2f}"
@@ -154,48 +158,52 @@
     """Return when a change is due that the relay has; None where it has no path."""
     taken = (
         at
-        for life in day.processes
-        if life.own.id == relay
-        for at, server, version in life.servers
+        for process in day.processes
+        if process.own.id == relay
+        for at, server, version in process.servers
         if at >= change.at and server == change.server
-        if _has(day, life, change, number, at)
+        if _has_applied(day, process, change, number, at)
     )
     if (at := next(taken, None)) is None:
         return None
-    due = _held_up(day.plan, at, lambda harm: _parts(harm, node, relay))
-    for harm in day.plan.faults:
-        harms_relay = _hits_way_to_store(harm, relay) and not isinstance(harm, Freeze)
-        if harms_relay and harm.begin < due and harm.end > at - SETTLED_S:
+    due = _deadline_after_faults(
+        day.plan, at, lambda fault: _partitions(fault, node, relay)
+    )
+    for fault in day.plan.faults:
+        affects_relay = _affects_store_path(fault, relay) and not isinstance(
+            fault, Freeze
+        )
+        if affects_relay and fault.begin < due and fault.end > at - SETTLED_S:
             return None
     return due
 
 
-def _parts(harm: Fault, node: str, relay: str) -> bool:
-    if isinstance(harm, Freeze | Restart):
-        return harm.node in (node, relay)
-    return isinstance(harm, Partition) and harm.nodes == {node, relay}
+def _partitions(fault: Fault, node: str, relay: str) -> bool:
+    if isinstance(fault, Freeze | Restart):
+        return fault.node in (node, relay)
+    return isinstance(fault, Partition) and fault.nodes == {node, relay}
 
 
-def _life_at(day: VersionSimulation, node: str, at: float) -> NodeProcess | None:
+def _process_at(day: VersionSimulation, node: str, at: float) -> NodeProcess | None:
     return next(
         (
-            life
-            for life in day.processes
-            if life.own.id == node and life.began <= at < life.ended
+            process
+            for process in day.processes
+            if process.own.id == node and process.began <= at < process.ended
         ),
         None,
     )
 
 
-def _has(
-    day: VersionSimulation, life: NodeProcess, change: Change, number: int, at: float
+def _has_applied(
+    day: VersionSimulation, process: NodeProcess, change: Change, number: int, at: float
 ) -> bool:
     """Return whether a change, or a later one in its place, was taken by then."""
     if change.server is None:
-        return any(taken <= at and n >= number for taken, n in life.versions)
+        return any(taken <= at and n >= number for taken, n in process.versions)
     seen = [
         version
-        for taken, server, version in life.servers
+        for taken, server, version in process.servers
         if taken <= at and server == change.server
     ]
     shown = seen[-1] if seen else None
@@ -212,58 +220,66 @@
     plan = day.plan
     dues = [_due_by_store(plan, change.at, node)]
     if change.server is None:
-        for life in day.processes:
-            taken = (at for at, n in life.versions if n >= number)
-            if life.own.id != node and (at := next(taken, None)) is not None:
-                dues += _due_by_other(plan, max(at, change.at), node, life.own.id)
+        for process in day.processes:
+            taken = (at for at, n in process.versions if n >= number)
+            if process.own.id != node and (at := next(taken, None)) is not None:
+                dues += _due_by_other(plan, max(at, change.at), node, process.own.id)
     return min(dues)
 
 
 def _due_by_store(plan: Plan, at: float, node: str) -> float:
-    return _held_up(plan, at, lambda harm: _hits_way_to_store(harm, node))
+    return _deadline_after_faults(
+        plan, at, lambda fault: _affects_store_path(fault, node)
+    )
 
 
 def _due_by_other(plan: Plan, at: float, node: str, other: str) -> list[float]:
     """Return when a change is due that another node has, if it is due by that way."""
-    due = _held_up(
-        plan, at, lambda harm: isinstance(harm, Freeze) and harm.node == node
+    due = _deadline_after_faults(
+        plan, at, lambda fault: isinstance(fault, Freeze) and fault.node == node
     )
     silent: set[str] = set()
-    for harm in plan.faults:
+    for fault in plan.faults:
         # A node that was silent shortly before may still be waited for.
-        if harm.begin >= due or harm.end <= at - PROPAGATION_DEADLINE_S:
+        if fault.begin >= due or fault.end <= at - PROPAGATION_DEADLINE_S:
             continue
         if (
-            isinstance(harm, GossipLoss)
-            or isinstance(harm, Restart)
-            and harm.node == node
+            isinstance(fault, GossipLoss)
+            or isinstance(fault, Restart)
+            and fault.node == node
         ):
             return []
-        if isinstance(harm, Freeze | Restart) and harm.node != node:
-            silent.add(harm.node)
-        if isinstance(harm, Partition) and node in harm.nodes:
-            silent |= harm.nodes - {node}
+        if isinstance(fault, Freeze | Restart) and fault.node != node:
+            silent.add(fault.node)
+        if isinstance(fault, Partition) and node in fault.nodes:
+            silent |= fault.nodes - {node}
     return [] if other in silent or len(silent) > 1 else [due]
 
 
-def _hits_way_to_store(harm: Fault, node: str) -> bool:
-    if isinstance(harm, Outage):
-        return harm.nodes is None or node in harm.nodes
-    if isinstance(harm, Freeze | Restart):
-        return harm.node == node
+def _affects_store_path(fault: Fault, node: str) -> bool:
+    if isinstance(fault, Outage):
+        return fault.nodes is None or node in fault.nodes
+    if isinstance(fault, Freeze | Restart):
+        return fault.node == node
     # A relay that was shown an old state cannot know it, nor can those who ask it.
-    return isinstance(harm, StaleReads)
+    return isinstance(fault, StaleReads)
 
 
-def _held_up(plan: Plan, at: float, hits: Callable[[Fault], bool]) -> float:
+def _deadline_after_faults(
+    plan: Plan, at: float, affects: Callable[[Fault], bool]
+) -> float:
     last = at
-    for harm in sorted(plan.faults, key=lambda harm: harm.begin):
-        if hits(harm) and harm.begin < last + PROPAGATION_DEADLINE_S and harm.end >= at:
-            last = max(last, harm.end)
+    for fault in sorted(plan.faults, key=lambda fault: fault.begin):
+        if (
+            affects(fault)
+            and fault.begin < last + PROPAGATION_DEADLINE_S
+            and fault.end >= at
+        ):
+            last = max(last, fault.end)
     return last + PROPAGATION_DEADLINE_S
 
 
-def needless_calls(day: VersionSimulation) -> Iterable[str]:
+def excess_calls(day: VersionSimulation) -> Iterable[str]:
     """Calls to the store stay bounded while nothing changes."""
     calls = Counter((node, int(at)) for node, at in day.store.called_at)
     busy = {
@@ -271,7 +287,7 @@
     }
     quiet_from = day.plan.ends + SETTLED_S
     for (node, second), count in calls.items():
-        harmed = HARMED_CALLS + FORGET_CALLS * len(day.plan.forgets)
-        most = QUIET_CALLS if second >= quiet_from else harmed
+        during_faults = FAULT_CALLS + HISTORY_LOSS_CALLS * len(day.plan.history_losses)
+        most = QUIET_CALLS if second >= quiet_from else during_faults
         if second not in busy and count > most:
             yield f"calls: {node} made {count} in second {second}"
--- a/tests/support/version_plan.py
+++ b/tests/support/version_plan.py
@@ -85,11 +85,13 @@
     data_centres: str
     changes: tuple[Change, ...] = ()
     faults: tuple[Fault, ...] = ()
-    forgets: tuple[float, ...] = ()
+    history_losses: tuple[float, ...] = ()
     seed: int = 0
 
     @property
     def ends(self) -> float:
         """When the last thing has happened."""
         times = [change.at for change in self.changes]
-        return max([*times, *(harm.end for harm in self.faults), *self.forgets, 0.0])
+        return max(
+            [*times, *(fault.end for fault in self.faults), *self.history_losses, 0.0]
+        )
--- a/tests/support/version_plans.py
+++ b/tests/support/version_plans.py
@@ -18,15 +18,15 @@
 __all__ = ["plans"]
 
 # The bound of the search; harms and changes may fall together in any way within it.
-MOST_NODES = 5
-MOST_CHANGES = 8
-MOST_HARMS = 6
-MOST_FORGETS = 2
-FIRST_S = 2.0
-LAST_S = 7.0
-LONGEST_HARM_S = 5.0
+MAX_NODES = 5
+MAX_CHANGES = 8
+MAX_FAULTS = 6
+MAX_HISTORY_LOSSES = 2
+FIRST_EVENT_S = 2.0
+LAST_EVENT_S = 7.0
+MAX_FAULT_S = 5.0
 # The store is slow, but not out of order, up to this.
-SLOWEST_S = 0.2
+MAX_SLOW_S = 0.2
 # Harm is rather looked for around a change than anywhere: so long before and after.
 BEFORE_S = 1.5
 AFTER_S = 0.7
@@ -63,33 +63,35 @@
     nodes = [f"n{number}" for number in range(len(data_centres))]
     change = st.builds(
         Change,
-        seconds(FIRST_S, LAST_S),
+        seconds(FIRST_EVENT_S, LAST_EVENT_S),
         st.none() | st.sampled_from(SERVERS),
         st.booleans(),
     )
-    changes = draw(st.lists(change, min_size=1, max_size=MOST_CHANGES))
+    changes = draw(st.lists(change, min_size=1, max_size=MAX_CHANGES))
     offset = seconds(-BEFORE_S, AFTER_S)
     near = st.builds(
         lambda change, off: round(change.at + off, 2), st.sampled_from(changes), offset
     )
-    times = seconds(FIRST_S, LAST_S) | near
-    faults = draw(st.lists(_harms(nodes, times), min_size=1, max_size=MOST_HARMS))
-    forgets = draw(st.lists(times, max_size=MOST_FORGETS))
+    times = seconds(FIRST_EVENT_S, LAST_EVENT_S) | near
+    faults = draw(st.lists(_faults(nodes, times), min_size=1, max_size=MAX_FAULTS))
+    history_losses = draw(st.lists(times, max_size=MAX_HISTORY_LOSSES))
     listed = [Change(0.0, server) for server in SERVERS]
     return Plan(
         data_centres,
         (*listed, *changes),
         tuple(faults),
-        tuple(forgets),
+        tuple(history_losses),
         draw(st.integers(0, 999)),
     )
 
 
 @st.composite
-def _harms(draw: st.DrawFn, nodes: list[str], times: st.SearchStrategy[float]) -> Fault:
+def _faults(
+    draw: st.DrawFn, nodes: list[str], times: st.SearchStrategy[float]
+) -> Fault:
     kind = draw(st.sampled_from(KINDS))
     begin = draw(times)
-    end = round(begin + draw(seconds(0.05, LONGEST_HARM_S)), 2)
+    end = round(begin + draw(seconds(0.05, MAX_FAULT_S)), 2)
     # The first of its data centre in the order of the relays is hit oftener.
     relay = StoreSimulation.relay(len(nodes))
     node = st.sampled_from(nodes) | st.just(relay)
@@ -107,7 +109,7 @@
         case _ if kind is Freeze:
             return Freeze(begin, end, draw(node))
         case _ if kind is StaleReads:
-            return StaleReads(begin, end, draw(seconds(0.0, LONGEST_HARM_S)))
+            return StaleReads(begin, end, draw(seconds(0.0, MAX_FAULT_S)))
         case _ if kind is SlowStore:
-            return SlowStore(begin, end, draw(seconds(0.01, SLOWEST_S)))
+            return SlowStore(begin, end, draw(seconds(0.01, MAX_SLOW_S)))
     return GossipLoss(begin, end)
--- a/tests/support/version_simulation.py
+++ b/tests/support/version_simulation.py
@@ -38,11 +38,11 @@
 # News is pushed to so many nodes.
 FAN_OUT = 4
 # News goes out twice, each copy this late at most: repeated, and out of order.
-NEWS_LATE_S = 0.1
+MAX_GOSSIP_DELAY_S = 0.1
 # A node that is gone is no longer among the members after this.
 FOUND_DEAD_S = 3.0
 # A node that has started knows the others after this.
-AGREED_S = 0.3
+MEMBERS_KNOWN_S = 0.3
 # The day goes on for so long after the last harm or change, without either.
 QUIET_S = 5.0
 
@@ -66,11 +66,11 @@
         self.deployments = DeploymentInForce(
             "config",
             lambda raw: Deployment(int(raw), {}, {}, {}, False, CallerLimits(1, 1.0)),
-            self._advanced,
+            self._on_advance,
         )
         self.tables = self._new_tables()
         self.catch_up = PeerCatchUp(
-            self._take_state_of,
+            self._apply_state_of,
             lambda: self.deployments.number,
             lambda: self.tables.is_ready,
             lambda: [other.internal for other in self._others()],
@@ -91,7 +91,7 @@
             lambda: self.own,
             self._others,
             deployments=self.deployments,
-            server_list=RecordingServerList(self._note_server),
+            server_list=RecordingServerList(self._record_server),
             crashes=idle_crash_table(),
             evacuations=idle_evacuations(),
             apply_s=PROPAGATION_DEADLINE_S,
@@ -109,22 +109,24 @@
 
     async def read_table(self, table: str) -> TableChanges:
         """Read a table from the store."""
-        return await self._awake(lambda: self.day.store.read(self.own.id, table))
+        return await self._while_running(
+            lambda: self.day.store.read(self.own.id, table)
+        )
 
     async def feed(self, table: str, after: int, wait_s: float) -> TableChanges:
         """Ask the store for changes."""
-        return await self._awake(
+        return await self._while_running(
             lambda: self.day.store.feed(self.own.id, table, after, wait_s)
         )
 
     def arriving_since(self, table: str) -> None:
         """Return that no answer takes long to come: none is large here."""
 
-    async def _awake(self, call: Callable[[], Awaitable[T]]) -> T:
+    async def _while_running(self, call: Callable[[], Awaitable[T]]) -> T:
         """Make a call; neither its begin nor its outcome while the node is frozen."""
-        await self.day.thawed(self.own.id)
+        await self.day.wait_until_running(self.own.id)
         result, error = await _outcome(call())
-        await self.day.thawed(self.own.id)
+        await self.day.wait_until_running(self.own.id)
         if error is not None:
             raise error
         return result
@@ -132,7 +134,7 @@
     async def _ask_relay(
         self, address: str, table: str, after: int | None, wait_s: float
     ) -> TableChanges:
-        return await self._awake(
+        return await self._while_running(
             lambda: self.day.call(
                 self.own.id,
                 address,
@@ -141,8 +143,8 @@
             )
         )
 
-    async def _take_state_of(self, address: str) -> None:
-        operator, servers = await self._awake(
+    async def _apply_state_of(self, address: str) -> None:
+        operator, servers = await self._while_running(
             lambda: self.day.call(self.own.id, address, STATE_S, NodeProcess.state)
         )
         self.tables.operator.apply_peer_rows(operator, address)
@@ -155,31 +157,31 @@
         return rows, self.tables.servers.rows()
 
     def _others(self) -> list[Member]:
-        if _now() < self.began + AGREED_S:
+        if _now() < self.began + MEMBERS_KNOWN_S:
             return []
-        return [m for m in self.day.members_found() if m.id != self.own.id]
+        return [m for m in self.day.live_members() if m.id != self.own.id]
 
-    def _advanced(self, number: int) -> None:
+    def _on_advance(self, number: int) -> None:
         if self.ended < _now():
             return
         self.versions.append((_now(), number))
         others = self._others()
-        for other in self.day.luck.sample(others, min(FAN_OUT, len(others))):
-            self.day.tell(self, other.id)
+        for other in self.day.rng.sample(others, min(FAN_OUT, len(others))):
+            self.day.gossip(self, other.id)
 
-    def _note_server(self, server: str, version: int | None) -> None:
+    def _record_server(self, server: str, version: int | None) -> None:
         self.servers.append((_now(), server, version))
 
     async def _probe(self) -> None:
         """Probe the others in turn: the way there and back, each with a version."""
-        await asyncio.sleep(self.day.luck.uniform(0, PROBE_S))
+        await asyncio.sleep(self.day.rng.uniform(0, PROBE_S))
         for turn in itertools.count():
-            await self.day.thawed(self.own.id)
+            await self.day.wait_until_running(self.own.id)
             if others := self._others():
                 other = others[turn % len(others)].id
-                self.day.tell(self, other)
+                self.day.gossip(self, other)
                 if other in self.day.process_by_node:
-                    self.day.tell(self.day.process_by_node[other], self.own.id)
+                    self.day.gossip(self.day.process_by_node[other], self.own.id)
             await asyncio.sleep(PROBE_S)
 
 
@@ -188,7 +190,7 @@
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
-        self.luck = random.Random(plan.seed)
+        self.rng = random.Random(plan.seed)
         self.store = PathStore(plan)
         self.members = [
             member(f"n{number}", data_centre)
@@ -199,7 +201,7 @@
         # Each change with its number (a configuration) or its row's version.
         self.confirmed: list[tuple[Change, int]] = []
         self._numbers = itertools.count(1)
-        self._news_under_way: set[asyncio.Task] = set()
+        self._gossip_tasks: set[asyncio.Task] = set()
 
     async def run(self) -> "VersionSimulation":
         """Play the day to its end."""
@@ -209,20 +211,20 @@
             self._begin(own)
         works = [
             *(self._at(change.at, self._make, change) for change in self.plan.changes),
-            *(self._at(at, self.store.drop_history) for at in self.plan.forgets),
-            *(self._restart(h) for h in self._harms(Restart)),
+            *(self._at(at, self.store.drop_history) for at in self.plan.history_losses),
+            *(self._restart(h) for h in self._faults(Restart)),
         ]
         await asyncio.gather(*works, asyncio.sleep(self.plan.ends + QUIET_S))
-        for life in list(self.process_by_node.values()):
-            await life.end()
+        for process in list(self.process_by_node.values()):
+            await process.end()
         return self
 
-    async def thawed(self, node: str) -> None:
+    async def wait_until_running(self, node: str) -> None:
         """Return once a node is not frozen."""
-        freezes = [harm for harm in self._harms(Freeze) if harm.node == node]
-        for harm in sorted(freezes, key=lambda harm: harm.begin):
-            if harm.begin <= _now() < harm.end:
-                await asyncio.sleep(harm.end - _now())
+        freezes = [fault for fault in self._faults(Freeze) if fault.node == node]
+        for fault in sorted(freezes, key=lambda fault: fault.begin):
+            if fault.begin <= _now() < fault.end:
+                await asyncio.sleep(fault.end - _now())
 
     async def call(
         self,
@@ -235,84 +237,92 @@
         node = address.partition(":")[0]
         try:
             async with asyncio.timeout(within_s):
-                await self._way(own, node)
-                life = await self._reached(node)
-                result, error = await _outcome(answer(life))
-                await self.thawed(node)
-                if life.ended <= _now():
+                await self._transit(own, node)
+                process = await self._process_on(node)
+                result, error = await _outcome(answer(process))
+                await self.wait_until_running(node)
+                if process.ended <= _now():
                     raise PeerUnreachable(address, "it has ended")
-                await self._way(node, own)
+                await self._transit(node, own)
         except TimeoutError as error:
             raise PeerUnreachable(address, "silent") from error
         if error is not None:
             raise error
         return result
 
-    async def _reached(self, node: str) -> NodeProcess:
-        await self.thawed(node)
-        if (life := self.process_by_node.get(node)) is not None:
-            return life
-        for harm in self._harms(Restart):
-            if harm.node == node and harm.silent and harm.begin <= _now() < harm.end:
+    async def _process_on(self, node: str) -> NodeProcess:
+        await self.wait_until_running(node)
+        if (process := self.process_by_node.get(node)) is not None:
+            return process
+        for fault in self._faults(Restart):
+            if (
+                fault.node == node
+                and fault.silent
+                and fault.begin <= _now() < fault.end
+            ):
                 await asyncio.Event().wait()
         raise PeerUnreachable(node, "refused")
 
-    async def _way(self, own: str, node: str) -> None:
+    async def _transit(self, own: str, node: str) -> None:
         await asyncio.sleep(HOP_S)
         if self._is_cut(own, node):
             await asyncio.Event().wait()
 
     def _is_cut(self, own: str, node: str) -> bool:
         return any(
-            harm.begin <= _now() < harm.end and harm.nodes == {own, node}
-            for harm in self._harms(Partition)
+            fault.begin <= _now() < fault.end and fault.nodes == {own, node}
+            for fault in self._faults(Partition)
         )
 
-    def tell(self, life: NodeProcess, node: str) -> None:
+    def gossip(self, process: NodeProcess, node: str) -> None:
         """Send news of the version in force at a node to another, two times."""
-        deaf = any(h.begin <= _now() < h.end for h in self._harms(GossipLoss))
-        number = life.deployments.number
-        if deaf or number < 0 or self._is_cut(life.own.id, node):
+        deaf = any(h.begin <= _now() < h.end for h in self._faults(GossipLoss))
+        number = process.deployments.number
+        if deaf or number < 0 or self._is_cut(process.own.id, node):
             return
         for _ in range(2):
-            late_s = HOP_S + self.luck.uniform(0, NEWS_LATE_S)
-            task = asyncio.create_task(self._news(life.own, number, node, late_s))
+            late_s = HOP_S + self.rng.uniform(0, MAX_GOSSIP_DELAY_S)
+            task = asyncio.create_task(
+                self._deliver_gossip(process.own, number, node, late_s)
+            )
             self._keep(task)
 
-    async def _news(self, of: Member, number: int, node: str, late_s: float) -> None:
+    async def _deliver_gossip(
+        self, of: Member, number: int, node: str, late_s: float
+    ) -> None:
         await asyncio.sleep(late_s)
-        await self.thawed(node)
-        if (life := self.process_by_node.get(node)) is not None:
-            life.catch_up.on_number_announced(number, of, 0.0)
+        await self.wait_until_running(node)
+        if (process := self.process_by_node.get(node)) is not None:
+            process.catch_up.on_number_announced(number, of, 0.0)
 
     def _keep(self, task: asyncio.Task) -> None:
-        self._news_under_way.add(task)
-        task.add_done_callback(self._news_under_way.discard)
+        self._gossip_tasks.add(task)
+        task.add_done_callback(self._gossip_tasks.discard)
 
-    def members_found(self) -> list[Member]:
+    def live_members(self) -> list[Member]:
         """Return the members that are not yet, or no longer, held dead."""
         dead = {
-            harm.node
-            for harm in self._harms(Restart)
-            if harm.begin + FOUND_DEAD_S <= _now() < harm.end
+            fault.node
+            for fault in self._faults(Restart)
+            if fault.begin + FOUND_DEAD_S <= _now() < fault.end
         }
         return [found for found in self.members if found.id not in dead]
 
-    def _harms(self, kind: type[T]) -> list[T]:
-        return [harm for harm in self.plan.faults if isinstance(harm, kind)]
+    def _faults(self, kind: type[T]) -> list[T]:
+        return [fault for fault in self.plan.faults if isinstance(fault, kind)]
 
     def _begin(self, own: Member) -> None:
-        self.process_by_node[own.id] = life = NodeProcess(self, own)
-        self.processes.append(life)
+        self.process_by_node[own.id] = process = NodeProcess(self, own)
+        self.processes.append(process)
 
-    async def _restart(self, harm: Restart) -> None:
-        await asyncio.sleep(harm.begin - _now())
-        life = self.process_by_node.pop(harm.node, None)
-        if life is None:
+    async def _restart(self, fault: Restart) -> None:
+        await asyncio.sleep(fault.begin - _now())
+        process = self.process_by_node.pop(fault.node, None)
+        if process is None:
             return
-        await life.end()
-        await asyncio.sleep(harm.end - _now())
-        self._begin(life.own)
+        await process.end()
+        await asyncio.sleep(fault.end - _now())
+        self._begin(process.own)
 
     async def _at(self, at: float, act: Callable[..., Any], *arguments: Any) -> None:
         await asyncio.sleep(at - _now())
