--- a/packages/node/src/eelgrass_node/process/platform_tables.py
+++ b/packages/node/src/eelgrass_node/process/platform_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the platform's store that a node follows, and how."""
+"""The replicas of the platform's tables that a node keeps."""
 
 from collections.abc import Callable
 
@@ -15,24 +15,24 @@
 
 __all__ = ["PlatformTables", "TableNames"]
 
-# The operator's table changes seldom, so a call may wait; but a wait is also
-# how long a feed that has fallen silent goes unnoticed.
+# The operator's table changes seldom, so a feed call may wait for changes. The wait is
+# short because a feed that stops answering goes undetected for as long.
 CONFIGURATION_WAIT_S = 1.0
-# Servers write every 1.2 s or so. Changes are collected between two calls, which
-# keeps the calls few. Pause, wait and the client's slack (0.6 s) add up to 1.5 s,
-# after which a relay that has lost the store tells its followers: that leaves
-# them half a second of the 2 s for a server that leaves.
+# Each server writes about every 1.2 s. A delay between two feed calls lets changes
+# accumulate and keeps the number of calls low. Delay, wait and the client's slack
+# (0.6 s) add up to 1.5 s, after which a relay that has lost the store tells its
+# followers. That leaves them half a second of the 2 s for a server that leaves.
 SERVERS_WAIT_S = 0.5
 SERVERS_FEED_DELAY_S = 0.4
 
 
-# Ends of servers are told by marks first; those that only the table tells come at once,
-# too, and a wait bounds how long a feed that has fallen silent goes unnoticed.
+# Crashes of servers spread by gossip first. Those that only the table shows also arrive
+# at once; the wait bounds how long a feed that stops answering goes undetected.
 CRASHES_WAIT_S = 1.0
 
 
 class TableNames(msgspec.Struct, frozen=True):
-    """What the store calls the tables of the operator, of servers and of their ends."""
+    """The names of the operator's table, the server table and the crash table."""
 
     operator: str
     servers: str
@@ -40,14 +40,13 @@
 
 
 class PlatformTables:
-    """Follows the tables, and relays them to other nodes of the data centre.
-
-    ``own`` and ``members`` return this node and the others that may be reached;
-    ``ask_relay`` asks one of them. ``deployments``, ``server_list``, ``crashes`` and
-    ``evacuations`` take in what is read. A configuration must be in force ``apply_s``
-    after it was confirmed, an evacuation ``evacuate_s`` after, and a server that leaves
-    must get no new work after ``drain_s``.
-    ``clock`` returns seconds.
+    """Keeps replicas of the tables, and relays them to nodes of the data centre.
+
+    ``own`` and ``members`` return this node and the other reachable nodes;
+    ``ask_relay`` calls one of them. The rows are applied to ``deployments``,
+    ``server_list``, ``crashes`` and ``evacuations``. A configuration must be in force
+    ``apply_s`` after it was confirmed, an evacuation after ``evacuate_s``, and a server
+    that leaves must get no new work after ``drain_s``. ``clock`` returns seconds.
     """
 
     def __init__(
@@ -115,10 +114,10 @@
         self._evacuations.apply_rows(rows)
 
     def row(self, table: str, key: str) -> StoredRow | None:
-        """Return a row as it is known here."""
+        """Return the last known row of a key in a table."""
         return self._table_by_name[table].row(key)
 
     @property
     def is_ready(self) -> bool:
-        """Whether there is a configuration, and the servers are known, too."""
+        """Whether the node has a configuration and the list of servers."""
         return self._deployments.current is not None and self.servers.has_rows
--- a/packages/node/src/eelgrass_node/process/row_difference.py
+++ b/packages/node/src/eelgrass_node/process/row_difference.py
@@ -1,16 +1,16 @@
-"""What has changed in a large row, for nodes that have the row before it.
+"""Differences between versions of a large row, for nodes that have the earlier one.
 
-The pattern it answers: the operator's configuration is one row, written whole with
-every change. With 1,564 routes it has 0.64 MB, and each node got all of that for a
-change of one timeout: 65 kB when compressed, where 0.3 kB tell it.
+The operator's configuration is a single row that is rewritten with every change. With
+1,564 routes it has 0.64 MB. Sending all of it to each node for a change of one timeout
+takes 65 kB when compressed; the difference takes 0.3 kB.
 
-Values are cut into chunks at each ``{``, with which the objects of a JSON text begin.
-Where the new value has chunks of the one before, in runs, only the runs are named.
+Values are split into chunks at each ``{``, where the objects of a JSON text begin. Runs
+of chunks that the earlier value also has are sent as references to it.
 
 Example::
 
-    difference = difference_of(before, row)
-    assert with_difference(before, difference) == row
+    difference = compute_difference(before, row)
+    assert apply_difference(before, difference) == row
 """
 
 from functools import lru_cache
@@ -25,12 +25,12 @@
 
 CHUNK_BEGINS = b"{"
 DIGEST_BYTES = 16
-# Followers ask for the same changes at the same time.
+# Size of the cache: followers ask for the same changes at the same time.
 KEPT_DIFFERENCES = 2
 
 
 class _Part(msgspec.Struct, frozen=True, array_like=True):
-    """Bytes that are new, if any, and then a run of chunks of the value before."""
+    """New bytes, if any, followed by a run of chunks of the earlier value."""
 
     new: bytes | None
     first: int
@@ -38,9 +38,9 @@
 
 
 class RowDifference(msgspec.Struct, frozen=True):
-    """How the row of ``version`` follows from the one of ``base_version``.
+    """Turns the row of ``base_version`` into the row of ``version``.
 
-    ``digest`` is that of the value that must result.
+    ``digest`` is the digest of the resulting value.
     """
 
     key: str
@@ -52,7 +52,7 @@
 
 @lru_cache(maxsize=KEPT_DIFFERENCES)
 def compute_difference(before: StoredRow, row: StoredRow) -> RowDifference:
-    """Return what makes ``row`` of ``before``; both have a value."""
+    """Return the difference from ``before`` to ``row``; both have a value."""
     base = before.value.split(CHUNK_BEGINS)
     parts = _parts(base, row.value.split(CHUNK_BEGINS))
     return RowDifference(
@@ -61,30 +61,35 @@
 
 
 def apply_difference(before: StoredRow | None, difference: RowDifference) -> StoredRow:
-    """Return the row that a difference makes of the one before it.
+    """Return the row that results from a difference.
 
-    Raises :class:`DifferenceMismatch` where ``before`` is not the row that is meant.
+    Raises :class:`DifferenceMismatch` if ``before`` is not the row that the difference
+    was computed from.
     """
     if before is None or before.value is None:
-        raise DifferenceMismatch(difference.key, "the row before it is not known")
+        raise DifferenceMismatch(difference.key, "this node does not have its base row")
     if before.version != difference.base_version:
-        raise DifferenceMismatch(difference.key, f"version {before.version} is known")
+        raise DifferenceMismatch(
+            difference.key, f"this node has version {before.version}"
+        )
     base = before.value.split(CHUNK_BEGINS)
-    pieces: list[bytes] = []
+    sections: list[bytes] = []
     for part in difference.parts:
         if part.new is not None:
-            pieces.append(part.new)
+            sections.append(part.new)
         if part.count:
             run = base[part.first : part.first + part.count]
-            pieces.append(CHUNK_BEGINS.join(run))
-    value = CHUNK_BEGINS.join(pieces)
+            sections.append(CHUNK_BEGINS.join(run))
+    value = CHUNK_BEGINS.join(sections)
     if _digest(value) != difference.digest:
-        raise DifferenceMismatch(difference.key, "another value results")
+        raise DifferenceMismatch(
+            difference.key, "the digest of the resulting value differs"
+        )
     return StoredRow(difference.key, difference.version, value)
 
 
 def _parts(base: list[bytes], chunks: list[bytes]) -> list[_Part]:
-    """Return the parts that make ``chunks`` of those of ``base``."""
+    """Return the parts that build ``chunks`` from those of ``base``."""
     first_by_chunk: dict[bytes, int] = {}
     for number, chunk in enumerate(base):
         first_by_chunk.setdefault(chunk, number)
@@ -103,7 +108,7 @@
 
 
 def _run_length(base: list[bytes], first: int, chunks: list[bytes], at: int) -> int:
-    """Return how many chunks from ``at`` on are those of ``base`` from ``first``."""
+    """Return how many chunks from ``at`` on equal those of ``base`` from ``first``."""
     most = min(len(base) - first, len(chunks) - at)
     for count in range(most):
         if base[first + count] != chunks[at + count]:
--- a/packages/node/src/eelgrass_node/process/store_backoff.py
+++ b/packages/node/src/eelgrass_node/process/store_backoff.py
@@ -1,11 +1,11 @@
-"""How soon a node asks the store again, worked out from what is promised of changes.
-
-The pattern it answers: the store turns nodes away, falls silent or forgets its
-history, and changes are made meanwhile. A node notices the store's return only by
-asking. What passes until then is a sum: a call that is under way at the return and
-gets no answer, then the pause before the next one. The longest pause is therefore what
-the longest call leaves of the promise, and no figure of its own. A shorter promise
-costs more calls in an outage.
+"""The backoff between calls to a store that does not answer.
+
+The store may reject nodes, stop answering or drop its history while changes are being
+made. A node detects the store's recovery only by calling it. In the worst case a call
+that is in flight at the recovery gets no answer, and the backoff before the next call
+follows it. The longest backoff is therefore derived: it is what the longest call leaves
+of the time within which a change must be in force. A shorter deadline causes more calls
+during an outage.
 """
 
 import random
@@ -17,25 +17,27 @@
     "RESPONSE_TIMEOUT_S",
 ]
 
-# A call that asks for nothing but what there is must begin to be answered in this time;
-# the store answers in 4 ms, and in 200 ms where it is slow. One that begins and then
-# stops is longer by 0.4 s, which the pauses below do not count.
+# Time within which the answer to a call without a wait must begin. The store answers in
+# 4 ms, or in 200 ms when it is slow. An answer that begins and then stops takes another
+# 0.4 s to detect, for which the backoff below makes no allowance.
 RESPONSE_TIMEOUT_S = 0.6
-# The first part of a whole read: a node that starts reads two tables over one link.
+# The same for the first page of a full read: a node that starts reads two tables over
+# one link.
 FULL_READ_RESPONSE_TIMEOUT_S = 1.0
-# After the first failure; short, since a call that waited for changes has already
-# taken 1.6 s to be given up.
+# The delay after the first failure. It is short because a call that waited for changes
+# has already taken 1.6 s to time out.
 FIRST_DELAY_S = 0.3
-# Kept back from the promise for the way of the change through the node.
+# The part of the deadline that is reserved for processing the change in the node.
 PROCESSING_RESERVE = 0.1
-# Pauses vary by this part downwards, so that nodes do not all come back together.
+# Delays are shortened at random by up to this part, so that nodes do not all retry at
+# the same time.
 JITTER = 0.25
 
 
 class StoreBackoff:
-    """The pauses between tries of one table while the store does not answer.
+    """The delays between calls for one table while the store does not answer.
 
-    ``promised_s`` is the time within which a change must be in force, in seconds.
+    ``deadline_s`` is the time within which a change must be in force, in seconds.
     """
 
     def __init__(self, deadline_s: float) -> None:
@@ -44,11 +46,11 @@
         self._next_s = FIRST_DELAY_S
 
     def reset(self) -> None:
-        """Note that the store has answered."""
+        """Start again with the shortest delay, after the store has answered."""
         self._next_s = FIRST_DELAY_S
 
     def next_delay_s(self) -> float:
-        """Return how long to wait before the next try; grows with each call."""
-        pause_s = self._next_s * random.uniform(1 - JITTER, 1)
+        """Return how long to wait before the next call; the delay grows each time."""
+        delay_s = self._next_s * random.uniform(1 - JITTER, 1)
         self._next_s = min(self.max_delay_s, self._next_s * 2)
-        return pause_s
+        return delay_s
--- a/packages/node/src/eelgrass_node/process/store_tables.py
+++ b/packages/node/src/eelgrass_node/process/store_tables.py
@@ -1,8 +1,8 @@
-"""Follows one table of the platform's store, through outages and lost history.
+"""A replica of one table of the platform's store that survives outages.
 
-The follower reads the table whole, then asks for changes again and again. What
-it has taken in never goes back: a row is taken only with a newer version, and a
-whole read that is older than what is known is not believed.
+The replica starts with a full read of the table and then polls for changes. It never
+goes back to an older state: a row is applied only if its version is newer, and a full
+read that is older than the replica is rejected.
 """
 
 import asyncio
@@ -18,15 +18,16 @@
 
 __all__ = ["TableReplica", "StoredRow", "TableChanges", "TableReader"]
 
-# In bytes of the value; smaller rows fit into a few packets.
+# Size of the value, in bytes, from which a row is sent as a difference; smaller rows
+# fit into a few packets.
 LARGE_ROW_BYTES = 4096
-# Rows that are gone and still known one by one, for followers that are behind; servers
-# come and go with new ids for as long as a node runs.
+# How many removed rows are remembered for followers that are behind. The number is
+# bounded because servers come and go under new ids for as long as a node runs.
 MAX_REMOVED_ROWS = 1000
 
 
 class StoredRow(msgspec.Struct, frozen=True):
-    """A row of a table; ``value`` is None where the row is gone."""
+    """A row of a table; ``value`` is None if the row was removed."""
 
     key: str
     version: int
@@ -34,34 +35,39 @@
 
     @property
     def is_large(self) -> bool:
-        """Whether it pays to send only what has changed in it."""
+        """Whether a change of the row is worth sending as a difference."""
         return self.value is not None and len(self.value) >= LARGE_ROW_BYTES
 
 
 class TableChanges(msgspec.Struct, frozen=True):
-    """Rows, and the version of the store up to which they are complete."""
+    """Changed rows, complete up to a version of the store."""
 
     rows: tuple[StoredRow, ...]
     version: int
 
 
 class TableReader(Protocol):
-    """What the follower needs of the store."""
+    """The read operations that a replica needs."""
 
     async def read_table(self, table: str) -> TableChanges:
         """Return all rows of a table; raises :class:`StoreUnavailable`."""
 
     async def feed(self, table: str, after: int, wait_s: float) -> TableChanges:
-        """Return changed rows; raises also :class:`HistoryGone`."""
+        """Return the rows changed after a version, waiting for the first change.
+
+        Raises :class:`StoreUnavailable`, and :class:`HistoryGone` if the history does
+        not go back to the version.
+        """
 
 
 class TableReplica:
     """One table of the store, kept up to date by :meth:`run`.
 
-    ``on_rows`` is told the rows that changed and from where they came, ``on_whole``
-    the keys there are after a whole read, and before either ``on_return`` that the
-    store had been out of reach. ``wait_s`` bounds one wait for changes and
-    ``promised_s`` is the time within which a change must be in force, in seconds.
+    ``on_rows`` is called with the rows that changed and their source, and
+    ``on_snapshot`` with all existing keys after a full read. After an outage,
+    ``on_store_recovered`` is called before either of them. ``wait_s`` bounds one wait
+    for changes and ``deadline_s`` is the time within which a change must be in force,
+    in seconds.
     """
 
     def __init__(
@@ -83,13 +89,13 @@
         self._unavailable_backoff = StoreBackoff(deadline_s)
         self._history_backoff = StoreBackoff(deadline_s)
         self._row_by_key: dict[str, StoredRow] = {}
-        # Large rows that the one of their key has replaced.
+        # For each key the large row that the current row has replaced.
         self._previous_by_key: dict[str, StoredRow] = {}
-        # The keys of rows that are gone, in the order in which they went.
+        # The keys of removed rows, in the order of their removal.
         self._removed_keys: deque[str] = deque()
         self._version = -1
         self._is_complete = False
-        # Removals before this version are not known one by one.
+        # The version up to which removals may have been forgotten or missed.
         self._complete_from = -1
         self._changed = asyncio.Event()
         self.reachable = True
@@ -107,9 +113,13 @@
                 self._unavailable_backoff.reset()
             except HistoryGone:
                 self._is_complete = False
-                log(Part.STORE, "The history is gone; reading all.", table=self._table)
-                # Once is cured by reading all at once; where it is gone again
-                # straight after that, nothing is gained by haste.
+                log(
+                    Part.STORE,
+                    "The store has dropped its history; reading the whole table.",
+                    table=self._table,
+                )
+                # The first time a full read follows at once. If the history is gone
+                # again right after it, another immediate read would not help.
                 if was_gone:
                     await asyncio.sleep(self._history_backoff.next_delay_s())
                 was_gone = True
@@ -120,21 +130,21 @@
 
     @property
     def has_rows(self) -> bool:
-        """Whether the table was ever read, or another node told of rows of it."""
+        """Whether the table was ever read, or another node has sent rows of it."""
         return self._version >= 0 or bool(self._row_by_key)
 
     def rows(self) -> tuple[StoredRow, ...]:
-        """Return all rows that are known, for a node that reaches no store."""
+        """Return all known rows, for a node that cannot reach the store."""
         return tuple(self._row_by_key.values())
 
     def row(self, key: str) -> StoredRow | None:
-        """Return the row of a key as it is known, also where it is gone."""
+        """Return the last known row of a key, which may be a removal."""
         return self._row_by_key.get(key)
 
     def previous_large_row(self, key: str, version: int) -> StoredRow | None:
-        """Return the large row that the one of a key has replaced.
+        """Return the large row that the current row of a key has replaced.
 
-        None where there is none, or it was not there yet at a version.
+        Return None if there is none, or if it is newer than ``version``.
         """
         before = self._previous_by_key.get(key)
         if before is None or before.version > version:
@@ -147,9 +157,9 @@
         return self._version
 
     def snapshot(self) -> TableChanges:
-        """Return all rows that there are, as of the version that is known.
+        """Return all existing rows, as of the replica's version.
 
-        Raises :class:`StoreUnavailable` where the table has yet to be read whole.
+        Raises :class:`StoreUnavailable` until the table has been read in full.
         """
         self._check_complete()
         rows = (row for row in self._row_by_key.values() if row.value is not None)
@@ -158,14 +168,14 @@
     def changes_after(self, version: int) -> TableChanges:
         """Return the rows changed after a version, in the order of their change.
 
-        Raises :class:`HistoryGone` where removals since then may be missing, and
-        :class:`StoreUnavailable` where the table has yet to be read whole.
+        Raises :class:`HistoryGone` if removals since then may be missing, and
+        :class:`StoreUnavailable` until the table has been read in full.
         """
         self._check_complete()
         if version < self._complete_from:
             raise HistoryGone(self._table)
-        # Rows that came from other nodes may be newer than what is complete here; a
-        # follower would get them again with each call, at once.
+        # Rows from other nodes may be newer than the version up to which this replica
+        # is complete. A follower would get them again with every call, without a wait.
         rows = [
             row
             for row in self._row_by_key.values()
@@ -176,10 +186,10 @@
 
     def _check_complete(self) -> None:
         if not self._is_complete:
-            raise StoreUnavailable(self._table, "it has yet to be read whole")
+            raise StoreUnavailable(self._table, "it has not been read in full yet")
 
     async def wait_for_change(self, within_s: float) -> None:
-        """Wait until rows have changed or the store is lost, or for so long."""
+        """Wait until rows change or the store is lost, at most ``within_s``."""
         changed = self._changed
         try:
             async with asyncio.timeout(within_s):
@@ -188,28 +198,28 @@
             return
 
     def apply_peer_rows(self, rows: tuple[StoredRow, ...], node: str) -> None:
-        """Take in what another node, named by its address, knows of the table.
+        """Apply the rows of another node, which is named by its address.
 
-        All changes up to the version of this table are known here. An older row that
-        is not known was removed, and nobody would tell of its removal again.
+        This replica has all changes up to its version. An older row that is missing
+        here was removed; if it were applied, no later change would remove it again.
         """
         newer = (row for row in rows if row.version > self._version)
-        news = tuple(row for row in newer if self._apply_if_newer(row))
-        if not news:
+        applied = tuple(row for row in newer if self._apply_if_newer(row))
+        if not applied:
             return
         log(
             Part.STORE,
             "Rows came from another node.",
             table=self._table,
             node=node,
-            rows=len(news),
-            newest=max(row.version for row in news),
+            rows=len(applied),
+            newest=max(row.version for row in applied),
             complete_to=self._version,
         )
-        self._on_rows(news, f"node {node}")
+        self._on_rows(applied, f"node {node}")
 
     async def _step(self) -> bool:
-        """Make one call; return whether it brought changes, and not the whole."""
+        """Make one call; return True for a feed and False for a full read."""
         if self._is_complete:
             changes = await self._reader.feed(self._table, self._version, self._wait_s)
             self._on_reached()
@@ -218,7 +228,9 @@
         changes = await self._reader.read_table(self._table)
         self._on_reached()
         if changes.version < self._version:
-            raise StoreUnavailable(self._table, "an old state was read")
+            raise StoreUnavailable(
+                self._table, "its answer is older than the state of this node"
+            )
         self._apply_snapshot(changes)
         return False
 
@@ -226,7 +238,7 @@
         self._is_complete = True
         self._complete_from = changes.version
         keys = {row.key for row in changes.rows}
-        # What other nodes have told of may be newer than what was read.
+        # Rows from other nodes may be newer than the full read.
         keys |= {
             row.key
             for row in self._row_by_key.values()
@@ -239,10 +251,10 @@
         self._on_snapshot(keys)
 
     def _apply(self, changes: TableChanges) -> None:
-        news = tuple(row for row in changes.rows if self._apply_if_newer(row))
+        applied = tuple(row for row in changes.rows if self._apply_if_newer(row))
         self._version = max(self._version, changes.version)
-        if news:
-            self._on_rows(news, "store")
+        if applied:
+            self._on_rows(applied, "store")
             self._wake_waiters()
 
     def _wake_waiters(self) -> None:
@@ -263,7 +275,7 @@
         return True
 
     def _record_removal(self, key: str) -> None:
-        """Remember that a row is gone, in place of the one that went first."""
+        """Remember a removal, and forget the oldest one beyond the limit."""
         self._removed_keys.append(key)
         if len(self._removed_keys) <= MAX_REMOVED_ROWS:
             return
@@ -277,7 +289,12 @@
         if not self.reachable:
             self.reachable = True
             lost_s = self.confirmed_at - self.lost_at
-            log(Part.STORE, "Reached again.", table=self._table, lost_s=lost_s)
+            log(
+                Part.STORE,
+                "The table can be read again.",
+                table=self._table,
+                lost_s=lost_s,
+            )
             self._on_store_recovered()
 
     def _on_lost(self, error: StoreUnavailable, again_s: float) -> None:
@@ -288,7 +305,7 @@
             self._wake_waiters()
         log(
             Part.STORE,
-            "Lost." if first else "Still lost.",
+            "The table cannot be read." if first else "The table still cannot be read.",
             table=self._table,
             error=str(error),
             lost_s=asyncio.get_running_loop().time() - self.lost_at,
--- a/packages/node/src/eelgrass_node/process/table_relay.py
+++ b/packages/node/src/eelgrass_node/process/table_relay.py
@@ -1,16 +1,15 @@
-"""One node of each data centre follows a table of the store for the others.
-
-The pattern it answers: each call to the store is paid for, and its rates are
-shared by all nodes; 82 nodes that follow two tables make 170 calls a second where
-six would do. A node asks the relay of its data centre, which rendezvous hashing
-finds over the live members, and goes to the store itself as soon as that one does
-not answer. A relay answers only from what it read from the store itself, so that no
-two nodes take their word from each other.
-
-A store may turn away some nodes, and a relay among them. The next ones in the order of
-the hash are asked then, up to ``RELAYS``; the first of them that the store serves reads
-for all. Without them each follower would read the store for itself for as long as that
-lasts.
+"""Relays: one node of each data centre reads a table of the store for the others.
+
+Calls to the store cost money and share one rate limit across all nodes: 82 nodes that
+each follow two tables make 170 calls a second where six are enough. A node asks the
+relay of its data centre, chosen by rendezvous hashing over the live members, and reads
+the store itself as soon as the relay does not answer. A relay serves only tables that
+it reads from the store itself, so two nodes can never follow each other.
+
+The store may reject some nodes, including a relay. Followers then ask the next nodes in
+hash order, up to ``RELAYS``, and the first of them that the store serves becomes the
+relay. Without these fallbacks every follower would read the store for the length of the
+outage.
 """
 
 import asyncio
@@ -27,30 +26,31 @@
 
 __all__ = ["RelayedReader", "StoreReader", "TableRelay", "relay_of", "relays_of"]
 
-# A follower's wait at its relay. With the slack that the client adds it notices a
-# frozen relay after 1.1 s, which leaves most of a second of the 2 s within which a
-# change must be in force.
+# How long a follower lets its relay wait for changes. With the slack that the client
+# adds, a frozen relay is detected after 1.1 s. That leaves most of a second of the 2 s
+# within which a change must be in force.
 RELAY_WAIT_S = 0.8
-# How many nodes are asked in one turn before the store. Of a third of all nodes that
-# the store turns away, all three are in one of 27 cases.
+# How many relays are asked in turn before the store. If the store rejects a third of
+# all nodes, it rejects all three relays in one of 27 cases.
 RELAYS = 3
-# A relay that failed is passed over for this long; a frozen host wakes, and a dead
-# one is found dead, within a few seconds.
+# How long a relay that failed is skipped. Within a few seconds a frozen host resumes or
+# the membership protocol declares a dead one dead.
 BACKOFF_S = 3.0
-# What a node read from the store itself this long ago still makes it a relay: the
-# pause, the wait and the slack until its next answer begins (1.6 s).
+# A node is a relay while its last read from the store is no older than this. It covers
+# the time until the next answer begins: feed delay, wait and response timeout (1.6 s).
 STORE_READ_MAX_AGE_S = 2.0
-# An answer of the store that still comes makes a node a relay for as long. A slower one
-# holds up its followers, which the store may answer sooner.
+# A node that is still receiving an answer from the store counts as a relay for up to
+# this long. Followers that waited longer could get the answer sooner from the store.
 MAX_RECEIVE_S = 2.0
 
-# A node that has just started and read a table from the store asks for changes after
-# this. The members of a fleet that starts as a whole agree meanwhile, and it finds its
-# relay in place of the store. What was read is that old then, which leaves more than
-# half of the 2 s within which a change must be in force.
+# How long a node that has just started and read a table from the store waits before it
+# asks for changes. If all nodes start together, they learn about each other in that
+# time, so that the node finds its relay instead of asking the store again. The rows it
+# read are that old then, which leaves more than half of the 2 s within which a change
+# must be in force.
 MEMBERSHIP_SETTLE_S = 0.5
 
-# Gets an address, a table, a version (None for the whole table) and a wait.
+# Called with an address, a table, a version (None for a full read) and a wait.
 AskRelay = Callable[[str, str, int | None, float], Awaitable[TableChanges]]
 
 
@@ -62,7 +62,7 @@
 def relays_of(own: Member, members: list[Member], table: str) -> list[Member]:
     """Return the nodes to ask for changes of a table, in order.
 
-    There is none for the first of its data centre, which asks the store.
+    The list is empty for the first node of the data centre: it reads the store.
     """
     local = [
         member
@@ -76,20 +76,20 @@
 
 
 class StoreReader(TableReader, Protocol):
-    """What is needed of the store itself."""
+    """The store, as :class:`RelayedReader` uses it."""
 
     def arriving_since(self, table: str) -> float | None:
-        """Return when an answer that is not whole yet has begun; None without one."""
+        """Return when the answer being received began; None if there is none."""
 
 
 class RelayedReader:
-    """Reads the store's tables, feeds of changes rather from a relay.
+    """Reads the store's tables through a relay, or from the store if there is none.
 
-    ``relays`` names the relays of a table, in the order in which to ask them; ``ask``
+    ``relays`` returns the relays of a table in the order in which to ask them. ``ask``
     raises :class:`PeerUnreachable`, :class:`HistoryGone`, or
-    :class:`StoreUnavailable` where the relay itself does not read the store.
-    ``pause_s_by_table`` is how long changes are collected between two calls to the
-    store.
+    :class:`StoreUnavailable` if the relay itself does not read the store.
+    ``feed_delay_s_by_table`` is how long to let changes accumulate between two feed
+    calls to the store.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
         self._clock = clock
         self._read_at_by_table: dict[str, float] = {}
         self._backed_off_until: dict[str, float] = {}
-        # Tables about which the store did not answer when it was last asked.
+        # Tables for which the last call to the store failed.
         self._unavailable_tables: set[str] = set()
         self._version_by_table: dict[str, int] = {}
         self._answering_tables: set[str] = set()
@@ -115,10 +115,10 @@
         self._source_by_table: dict[str, str] = {}
 
     def reads_from_store(self, table: str) -> bool:
-        """Return whether this node has just read a table from the store, or does."""
+        """Return whether this node reads the table from the store, not from a relay."""
         since = self._store.arriving_since(table)
         if since is not None and self._clock() - since <= MAX_RECEIVE_S:
-            # Followers would read the same from the store, each over its own link.
+            # Otherwise every follower would read the same rows from the store.
             return True
         read_at = self._read_at_by_table.get(table, float("-inf"))
         return self._clock() - read_at <= STORE_READ_MAX_AGE_S
@@ -126,7 +126,7 @@
     async def read_table(self, table: str) -> TableChanges:
         """Return all rows of a table, from a relay or from the store.
 
-        A relay whose state is older than what this node knows is passed over.
+        The answer of a relay that is behind this node is discarded.
         """
         changes = await self._ask_relays(table, None)
         if changes and changes.version >= self._version_by_table.get(table, -1):
@@ -140,8 +140,8 @@
     async def feed(self, table: str, after: int, wait_s: float) -> TableChanges:
         """Return changed rows, from a relay or from the store.
 
-        A relay that has lost the store says nothing of whether the store answers
-        this node, so it is asked in any case, and how often is for the caller to say.
+        A relay that has lost the store does not show whether the store answers this
+        node. So the store is asked in any case, and the caller limits how often.
         """
         self._version_by_table[table] = after
         if table in self._just_read_tables:
@@ -155,10 +155,10 @@
         return await self._feed_from_store(table, after, wait_s)
 
     async def _ask_relays(self, table: str, after: int | None) -> TableChanges | None:
-        """Ask the relays of a table in turn; None where the store must be asked.
+        """Ask the relays of a table in turn; return None if the store must be asked.
 
-        After one that was silent, or answered only at the end of its wait, no other is
-        asked: their waits would add up to more than a change may take.
+        No further relay is asked after one that did not answer, or answered only at the
+        end of its wait: the waits would add up to more than a change may take.
         """
         retry_until = self._clock() + RELAY_WAIT_S
         for relay in self._relays_to_ask(table):
@@ -170,7 +170,7 @@
                 self._back_off(relay, table, error)
                 return None
             except StoreUnavailable:
-                # The store may have turned away this one alone.
+                # The store may have rejected this relay alone.
                 if self._clock() >= retry_until:
                     return None
                 continue
@@ -180,10 +180,10 @@
         return None
 
     def _relays_to_ask(self, table: str) -> list[Member]:
-        """Return the relays to ask, in order: one that failed lately is passed over.
+        """Return the relays to ask, in order, without those that are backed off.
 
-        Where the store does not answer this node either, it comes after the others:
-        nobody else would tell the node that it is well again.
+        If the store does not answer this node either, the backed-off relays are asked
+        last: nothing else would show this node that they have recovered.
         """
         relays = self._relays(table)
         eligible = [relay for relay in relays if self._is_eligible(relay)]
@@ -194,8 +194,8 @@
     def _wait_s(self, relay: Member, table: str) -> float:
         """Return how long a relay may wait for changes.
 
-        One that was not the source before is asked for what it has: it may be silent,
-        after the time that it took to lose the source before it.
+        A relay that was not the last source must answer at once with what it has. It
+        may be unresponsive too, and the failure of the last source has taken time.
         """
         is_source = self._source_by_table.get(table) == relay.id
         return RELAY_WAIT_S if is_source and self._is_eligible(relay) else 0.0
@@ -206,8 +206,8 @@
         if table in self._answering_tables:
             await asyncio.sleep(self._feed_delay_s_by_table.get(table, 0.0))
         else:
-            # A call that does not wait tells soonest whether the store answers, and
-            # is given up a second earlier where it does not.
+            # A call without a wait shows soonest whether the store answers, and times
+            # out a second earlier if it does not.
             wait_s = 0.0
         self._answering_tables.discard(table)
         changes = await self._ask_store(table, self._store.feed(table, after, wait_s))
@@ -258,7 +258,7 @@
 
 
 class TableRelay:
-    """Answers other nodes from the tables that this one follows."""
+    """Serves other nodes from this node's table replicas."""
 
     def __init__(
         self,
@@ -269,27 +269,29 @@
         self._reads_from_store = reads_from_store
 
     def previous_large_row(self, name: str, key: str, version: int) -> StoredRow | None:
-        """Return the large row that the one of a key replaced after a version."""
+        """Return the large row that the current row replaced after ``version``."""
         return self._table_by_name[name].previous_large_row(key, version)
 
     async def changes(
         self, name: str, after: int | None, wait_s: float
     ) -> TableChanges:
-        """Return what changed after a version, waiting for the first change.
+        """Return the rows changed after a version, waiting for the first change.
 
-        Without a version the whole table is returned, at once.
+        Without a version, return all rows of the table at once.
 
-        Raises :class:`StoreUnavailable` where this node is no relay, and
-        :class:`HistoryGone` where it does not know so old a version.
+        Raises :class:`StoreUnavailable` if this node is not a relay, and
+        :class:`HistoryGone` if its history does not go back to the version.
         """
         table = self._table_by_name.get(name)
         if table is None:
-            raise StoreUnavailable(name, "no such table is followed here")
+            raise StoreUnavailable(name, "this node has no replica of the table")
         loop = asyncio.get_running_loop()
         end = loop.time() + wait_s
         while True:
             if not table.reachable or not self._reads_from_store(name):
-                raise StoreUnavailable(name, "this node does not read the store")
+                raise StoreUnavailable(
+                    name, "this node does not read the table from the store"
+                )
             if after is None:
                 return table.snapshot()
             changes = table.changes_after(after)
--- a/packages/node/tests/test_store_logs.py
+++ b/packages/node/tests/test_store_logs.py
@@ -1,7 +1,7 @@
-"""What the logs tell of how a node follows the store.
+"""The log lines about a node's calls to the store.
 
-After a configuration had come into force late at several hosts, they could not tell
-whether the store had not been asked, had not answered, or had shown an old state.
+When a configuration comes into force late, the logs must show whether the store was not
+called, did not answer, or returned an old state.
 """
 
 import asyncio
@@ -20,20 +20,20 @@
 
 
 class TestFailures:
-    async def test_each_failure_is_told_with_its_reason_and_the_next_try(self):
+    async def test_each_failure_is_logged_with_its_reason_and_the_next_retry(self):
         table = table_replica(UnreachableStore("TimeoutError"), TABLE)
         with log_lines() as lines:
             task = asyncio.create_task(table.run())
             await asyncio.sleep(0.6)
             task.cancel()
-        assert len(of(lines, "Lost.")) == 1
-        again = of(lines, "Still lost.")
+        assert len(of(lines, "The table cannot be read.")) == 1
+        again = of(lines, "The table still cannot be read.")
         assert again
         for line in again:
             assert "TimeoutError" in line["error"]
             assert line["lost_s"] > 0.1 and line["again_s"] > 0.1
 
-    async def test_rows_from_another_node_are_told_as_such(self):
+    async def test_rows_from_another_node_are_logged_with_their_source(self):
         sources = []
         table = table_replica(
             UnreachableStore("TimeoutError"),
@@ -52,7 +52,7 @@
 
 
 class TestSources:
-    async def test_a_change_of_the_source_is_told_once(self):
+    async def test_a_change_of_the_source_is_logged_once(self):
         async def ask(address, table, after, wait_s):
             return changes(5)
 
