--- a/packages/node/src/eelgrass_node/process/__init__.py
+++ b/packages/node/src/eelgrass_node/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as the process."""
+"""State and tasks that live as long as the process."""
--- a/packages/node/src/eelgrass_node/process/changes.py
+++ b/packages/node/src/eelgrass_node/process/changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes: checked here, committed through the change log."""
+"""Checks operators' changes and commits them through the change log."""
 
 import asyncio
 
@@ -36,7 +36,7 @@
 
 
 class Changes:
-    """Submits changes and waits until they are in force."""
+    """Submits changes and reports on which nodes they are in force."""
 
     def __init__(
         self,
@@ -66,12 +66,16 @@
         return await self._report(result)
 
     async def _catch_up(self, revision: Revision) -> None:
-        # Read back rather than applied from the request: a repeated change id
-        # stands for the change that was accepted under it first.
+        # The change is read back instead of applied from the request, because a
+        # repeated change id refers to the change first accepted under it.
         try:
             await self._configuration.catch_up(revision)
         except PlatformError as error:
-            log(Part.CONFIGURATION, "A change waits for a poll.", error=str(error))
+            log(
+                Part.CONFIGURATION,
+                "A change is committed but not readable yet; the next poll applies it.",
+                error=str(error),
+            )
 
     async def _report(self, result: ChangeResult) -> ChangeReport:
         revision = result.revision
--- a/packages/node/src/eelgrass_node/process/claimed_requests.py
+++ b/packages/node/src/eelgrass_node/process/claimed_requests.py
@@ -1,4 +1,4 @@
-"""Requests under an idempotency key: one run, and one answer for every repeat."""
+"""Runs a request with an idempotency key once, and answers repeats from that run."""
 
 import asyncio
 import time
@@ -29,7 +29,7 @@
 
 
 class OwnerState(Enum):
-    """What an owner says of a claim."""
+    """The state of a claim, as its owner reports it."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -43,14 +43,14 @@
 
 
 class _Running:
-    """A claim that this process runs, or ran a while ago."""
+    """A claim that this process runs, or that it finished a short time ago."""
 
     def __init__(self) -> None:
         self.finished = asyncio.Event()
 
 
 class ClaimedRequests:
-    """The keyed requests of this process."""
+    """Runs the keyed requests of this process."""
 
     def __init__(
         self,
@@ -70,9 +70,9 @@
         self._running_by_id: dict[ClaimId, _Running] = {}
 
     async def run(self, request: CallerRequest, execute: Execute) -> tuple[Any, bool]:
-        """Run the request unless its key was used; return the answer.
+        """Run the request unless its key was used before; return the answer.
 
-        The second value says whether the answer is that of an earlier run.
+        The second value is True if the answer comes from an earlier run.
         """
         while True:
             held = await self._acquire(request)
@@ -83,7 +83,7 @@
                 return finished_claim.answer, True
 
     async def wait_until_finished(self, claim_id: ClaimId, wait_s: float) -> OwnerReply:
-        """Answer a peer that asks for a claim of ours; waits for its end."""
+        """Wait until a claim of this process finishes; return its state for a peer."""
         running = self._running_by_id.get(claim_id)
         if running is None:
             return OwnerReply(OwnerState.NOT_MINE)
@@ -96,7 +96,7 @@
 
     async def _acquire(self, request: CallerRequest) -> Acquisition:
         claim = self._new_claim(request)
-        # Registered before the write: a peer may see the row before we do.
+        # Registered before the write, because a peer may see the row before this node.
         self._running_by_id[claim.claim_id] = running = _Running()
         within = min(self._settle_s, request.remaining())
         try:
@@ -119,8 +119,8 @@
             answer = await execute()
         except Refused as refused:
             if held.version > 1 and refused.outcome is Outcome.NOT_RUN:
-                # The released claim of an earlier call: its repeatable stages
-                # may have run.
+                # The claim was released by an earlier call, whose repeatable stages may
+                # have run.
                 refused.outcome = Outcome.NO_EFFECT
             await self._store(held, self._after_refusal(held, refused))
             raise
@@ -138,24 +138,24 @@
         if refused.outcome is Outcome.UNKNOWN:
             log(
                 Part.CLAIMS,
-                "A keyed request has an unknown outcome.",
+                "The outcome of a keyed request is unknown.",
                 account=held.claim.account,
                 claim=held.claim.claim_id,
                 reason=refused.reason.value,
             )
             return self._claims.mark_unknown(held, str(refused))
-        # NO_EFFECT is as good as not run: only repeatable stages began.
+        # NO_EFFECT allows a new run as well: only repeatable stages were started.
         return self._claims.release(held)
 
     async def _store(self, held: Acquisition, storing: Awaitable[bool]) -> None:
-        """Store the end of a claim; goes on in the background if it is slow."""
+        """Store the end of a claim, in the background if the store is slow."""
         task = self._claims.finish_in_background(storing)
         await asyncio.wait({task}, timeout=STORE_BEFORE_ANSWER_S)
 
     async def _finished_claim(
         self, request: CallerRequest, claim: Claim
     ) -> Claim | None:
-        """Return the completed claim, None to look again, or raise Refused."""
+        """Return the completed claim, or None to acquire again, or raise Refused."""
         if claim.digest != request.digest or claim.pipeline != request.pipeline.name:
             raise Refused(RefusalReason.KEY_REUSED, Outcome.NOT_RUN)
         if claim.state is ClaimState.COMPLETED:
@@ -178,7 +178,7 @@
         if reply.state is OwnerState.RUNNING:
             raise _refused(RefusalReason.CLAIM_STILL_RUNNING, retry_after=RETRY_AFTER_S)
         if reply.state is OwnerState.FINISHED:
-            # Its final row may be a moment behind its answer.
+            # The owner may reply shortly before it writes the final row.
             await asyncio.sleep(OWNER_REPLY_MARGIN_S)
             return
         row = await self._claims.find(claim.account, claim.key)
@@ -186,7 +186,7 @@
             return
         raise _refused(
             RefusalReason.CLAIM_OUTCOME_UNKNOWN,
-            "The node that began it has since stopped.",
+            "The node that started the request has stopped since.",
         )
 
     async def _ask_owner(self, claim: Claim, wait_s: float) -> OwnerReply:
--- a/packages/node/src/eelgrass_node/process/configuration.py
+++ b/packages/node/src/eelgrass_node/process/configuration.py
@@ -1,8 +1,8 @@
 """Keeps the node at the newest configuration revision.
 
-A few nodes per data centre poll the head row; the others hear of a new revision
-from their peers and fetch the changes from whoever told them. So the reads of
-the table service do not grow with the number of nodes.
+A few nodes per data centre poll the head row. The other nodes learn of a new revision
+by gossip and fetch the changes from the peer that announced it. So the number of reads
+from the table service does not grow with the number of nodes.
 """
 
 import asyncio
@@ -37,13 +37,13 @@
 
 
 class RevisionReply(msgspec.Struct, frozen=True):
-    """A peer's answer: the revision in force there."""
+    """A peer's reply: the revision in force there."""
 
     revision: Revision
 
 
 class PeerChanges(msgspec.Struct, frozen=True):
-    """A peer's answer: the changes asked for, or a whole snapshot."""
+    """A peer's reply: the requested changes, or a snapshot instead."""
 
     changes: tuple[Change, ...] | None = None
     snapshot: Snapshot | None = None
@@ -52,8 +52,8 @@
 def is_poller(own: Member, members: list[Member]) -> bool:
     """Return whether ``own`` is among the pollers of its data centre.
 
-    The choice is by a hash of the node id, so it moves only where nodes come
-    or go. Nodes that see different members may both poll, which does no harm.
+    Pollers are chosen by a hash of the node id, so the choice changes only when nodes
+    join or leave. Nodes that see different members may both poll, which is harmless.
     """
     local = [m for m in members if m.data_centre == own.data_centre]
     pollers = ranked([*local, own], POLLERS_KEY, name=lambda member: member.id)
@@ -63,8 +63,7 @@
 class ConfigurationSync:
     """Follows the change log, directly or through peers.
 
-    ``version`` is what new requests use. ``on_advance`` is told each new
-    revision.
+    New requests use ``version``. ``on_advance`` is called with each new revision.
     """
 
     def __init__(
@@ -101,11 +100,15 @@
             await self.catch_up(head)
         except PlatformError as error:
             if not self._failing:
-                log(Part.CONFIGURATION, "The head is unreadable.", error=str(error))
+                log(
+                    Part.CONFIGURATION,
+                    "The head of the change log cannot be read.",
+                    error=str(error),
+                )
             self._failing = True
             return
         if self._failing:
-            log(Part.CONFIGURATION, "The head is readable again.")
+            log(Part.CONFIGURATION, "The head of the change log can be read again.")
         self._failing = False
         self.follower.confirm(head)
 
@@ -118,7 +121,7 @@
         return self.follower.snapshot
 
     def advance(self, changes: list[Change] | tuple[Change, ...]) -> bool:
-        """Apply changes; returns False where some are missing in between."""
+        """Apply changes; return False if some are missing in between."""
         before = self.follower.revision
         complete = try_advance(self.follower, changes)
         self._publish_version(before)
@@ -127,7 +130,7 @@
     def on_revision_announced(
         self, revision: Revision, member: Member, age_s: float
     ) -> None:
-        """Take in what a peer said of its revision."""
+        """Fetch the changes from a peer that announced a newer revision."""
         if revision > self.follower.revision:
             task = asyncio.create_task(self._fetch(member))
             self._fetching.add(task)
@@ -136,7 +139,7 @@
             self.follower.confirm(revision, age_s)
 
     async def start(self, members: list[Member]) -> None:
-        """Take the newest configuration to be had: from a peer, then the platform.
+        """Load the newest configuration from a peer, or else from the platform.
 
         Peers are asked for their revision first, because a snapshot is large.
         """
@@ -153,7 +156,11 @@
         try:
             snapshot = await self._snapshots.newest()
         except PlatformError as error:
-            log(Part.CONFIGURATION, "No snapshot is readable.", error=str(error))
+            log(
+                Part.CONFIGURATION,
+                "The newest snapshot cannot be read.",
+                error=str(error),
+            )
             return
         if snapshot is not None:
             before = self.follower.revision
@@ -185,7 +192,11 @@
                     member.internal, "changes", message, PeerChanges, PEER_TIMEOUT_S
                 )
             except PeerUnreachable as error:
-                log(Part.CONFIGURATION, "A peer gave no changes.", error=str(error))
+                log(
+                    Part.CONFIGURATION,
+                    "The changes could not be fetched from a peer.",
+                    error=str(error),
+                )
                 return
             self._apply_reply(answer)
 
--- a/packages/node/src/eelgrass_node/process/deployments.py
+++ b/packages/node/src/eelgrass_node/process/deployments.py
@@ -1,4 +1,4 @@
-"""The configuration in force, which only ever goes forward."""
+"""The configuration in force, which is only ever replaced by a newer one."""
 
 import asyncio
 from collections import deque
@@ -11,18 +11,19 @@
 
 __all__ = ["DeploymentInForce"]
 
-# A newer configuration that has not come in this time may never come: one that only a
-# newer release can read, or a number that a faulty node tells.
+# A newer configuration that does not arrive within this time after its announcement may
+# never arrive: only a newer release can read it, or a faulty node announced its number.
 ANNOUNCEMENT_TIMEOUT_S = 10.0
-# Numbers that were awaited in vain and are remembered.
+# How many announced numbers that never arrived are remembered.
 MAX_EXPIRED_NUMBERS = 16
 
 
 class DeploymentInForce:
-    """Holds the newest configuration that was read, from wherever it came.
+    """Holds the newest configuration received from the store or another node.
 
-    ``raw`` is its text, for other nodes that cannot reach the store.
-    ``on_advance`` is told the number of each one that comes into force.
+    ``raw`` is its encoded form, for other nodes that cannot reach the store.
+    ``on_advance`` is called with the number of each configuration that comes into
+    force.
     """
 
     def __init__(
@@ -48,16 +49,16 @@
 
     @property
     def superseded(self) -> bool:
-        """Whether another node has told of a newer configuration, which is awaited.
+        """Whether another node has announced a newer configuration that is awaited.
 
-        What the one in force does not know may be there then.
+        It may define what the configuration in force does not, such as a new route.
         """
         return self._announced_number > self.number and not self._has_expired()
 
     def on_number_announced(self, number: int) -> None:
-        """Note the number of the configuration that another node has."""
+        """Record the number of the configuration that another node has."""
         if self._announced_number >= 0 and self._has_expired():
-            # It must not hide the numbers of those that do come.
+            # An expired number must not hide lower numbers that do arrive.
             self._expired_numbers.append(self._announced_number)
             self._announced_number = -1
         if number in self._expired_numbers:
@@ -71,17 +72,22 @@
         return now - self._announced_at > ANNOUNCEMENT_TIMEOUT_S
 
     def apply_rows(self, rows: tuple[StoredRow, ...], source: str) -> None:
-        """Take in rows of the operator's table; ``source`` says from where."""
+        """Apply rows of the operator's table; ``source`` is for the log."""
         for row in rows:
             if row.key == self._key and row.value is not None:
                 self.apply(row.value, source)
 
     def apply(self, raw: bytes, source: str) -> bool:
-        """Take in a configuration; returns whether it is newer than the last."""
+        """Apply a configuration if it is newer; return whether it was."""
         try:
             deployment = self._decode(raw)
         except ConfigurationMalformed as error:
-            log(Part.CONFIGURATION, "Not taken.", source=source, error=str(error))
+            log(
+                Part.CONFIGURATION,
+                "A configuration was rejected as malformed.",
+                source=source,
+                error=str(error),
+            )
             return False
         if deployment.number <= self.number:
             return False
--- a/packages/node/src/eelgrass_node/process/host_list.py
+++ b/packages/node/src/eelgrass_node/process/host_list.py
@@ -1,8 +1,8 @@
-"""Follows the platform's lagging list of backend servers.
+"""Polls the platform's list of backend servers, which lags behind.
 
-The pollers of a data centre read it at every interval and pass on who is
-leaving; the other nodes read it less often, because the list is long and the
-reads would grow with the number of nodes.
+The pollers of a data centre read the list at every interval and announce the servers
+that are leaving. The other nodes read it less often, because the list is long and the
+load of reading it would grow with the number of nodes.
 """
 
 import asyncio
@@ -25,11 +25,10 @@
 
 
 class HostListPoller:
-    """Polls the host list; during an outage the last one stays in force.
+    """Polls the host list; during an outage the last list stays in force.
 
-    ``polls`` says whether this node is a poller of its data centre now.
-
-    ``on_leaving`` is told each entry that is newly listed as leaving.
+    ``polls`` returns whether this node is currently a poller of its data centre.
+    ``on_leaving`` is called for each entry that is newly listed as leaving.
     """
 
     def __init__(
@@ -54,8 +53,8 @@
     async def run(self) -> None:
         """Poll until cancelled."""
         for turn in itertools.count():
-            # A long list is read less often, so that its bytes stay bounded; the
-            # pollers are many and pass on what they see.
+            # A long list is read less often to bound the bytes per second. There are
+            # several pollers, and each announces the changes that it sees.
             await asyncio.sleep(max(self._interval_s, self._bytes / BYTES_PER_S))
             if self._failing or turn % NON_POLLER_INTERVALS == 0 or self._polls():
                 await self.poll()
@@ -74,7 +73,7 @@
             self._note_failure(e)
             return
         if self._failing:
-            log(Part.HOSTS, "The host list is readable again.")
+            log(Part.HOSTS, "The host list can be read again.")
             self._failing = False
         for entry in self._backends.update(entries):
             log(Part.HOSTS, "A backend server is leaving.", backend=entry.id)
--- a/packages/node/src/eelgrass_node/process/host_settings.py
+++ b/packages/node/src/eelgrass_node/process/host_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a node on the users' platform, as the product sees them."""
+"""The settings of a node, independent of the platform's file format."""
 
 import time
 
@@ -11,28 +11,27 @@
 
 __all__ = ["HostSettings", "ServingBounds", "StoreSettings"]
 
-# The traffic of a queue's owner that uses up a core: some 800 sets a second (see
-# benchmarks/piece_queue.py), each of 4 kB on its way in and 4 kB out, on the
-# grown sheets.
+# The network traffic at which a queue owner uses up one core: some 800 item sets a
+# second (see benchmarks/piece_queue.py), each of 4 kB in and 4 kB out.
 LINK_BITS_PER_CORE = 50e6
 
 
 class StoreSettings(msgspec.Struct, frozen=True):
-    """Where the platform's store is, as an IP address and port."""
+    """The IP address and port of the platform's store."""
 
     address: str
 
 
 class ServingBounds(msgspec.Struct, frozen=True):
-    """Bounds that hold for all nodes together, in seconds unless said.
-
-    ``stop_s`` is how long a planned stop may take before the process is
-    killed. Retries may make up ``retry_ratio`` of the requests for a service in
-    any ``retry_window_s``, and ``retry_slack`` calls more. A server that leaves
-    gets no new work after ``drain_s``; a configuration is in force after
-    ``apply_s``. A cached part of a prompt counts as such for ``reuse_s`` after
-    its last use. The servers of a data centre that is emptied get no new work after
-    ``evacuate_s``, and cold ones no more than ``warm_up`` says.
+    """Bounds that apply to all nodes together, in seconds unless noted.
+
+    ``stop_s`` is how long a planned stop may take before the process is killed.
+    Retries may make up ``retry_ratio`` of the requests for a service in any
+    ``retry_window_s``, plus ``retry_slack`` calls. A server that leaves gets no new
+    work after ``drain_s``, and a configuration is in force after ``apply_s``. A prompt
+    prefix counts as cached for ``reuse_s`` after its last use. The servers of a data
+    centre that is being evacuated get no new work after ``evacuate_s``, and cold
+    servers get no more than ``warm_up`` allows.
     """
 
     stop_s: float
@@ -50,11 +49,11 @@
 class HostSettings(msgspec.Struct, frozen=True):
     """All settings of one node; addresses are IP addresses and ports.
 
-    ``seeds`` are internal addresses of a few nodes, some of which may be gone;
-    each listens for gossip at ``seed_gossip_port``. ``metrics`` is where scrapers
-    ask, None for nowhere. ``cores`` is the processor time that the node has, in
-    cores of usual speed, and ``link_bits_per_s`` the speed of its network link.
-    ``region_by_data_centre`` knows all data centres.
+    ``seeds`` are internal addresses of a few nodes, some of which may no longer exist;
+    each listens for gossip at ``seed_gossip_port``. ``metrics`` is the address for
+    metrics scrapers, None to disable it. ``cores`` is the processor time that the node
+    has, in cores of average speed, and ``link_bits_per_s`` the speed of its network
+    link. ``region_by_data_centre`` lists all data centres.
     """
 
     node: NodeId
@@ -75,11 +74,11 @@
     region_by_data_centre: dict[str, str] = {}
 
     def capacity(self) -> float:
-        """Return how much work for all nodes this one can take on, in cores."""
+        """Return the capacity for work on behalf of all nodes, in cores."""
         return min(self.cores, self.link_bits_per_s / LINK_BITS_PER_CORE)
 
     def as_member(self) -> Member:
-        """Return the record of the node for a start now, newer than those before."""
+        """Return the member record for a start now, newer than any earlier one."""
         return Member(
             id=self.node,
             data_centre=self.data_centre,
@@ -90,7 +89,7 @@
         )
 
     def other_seeds(self) -> tuple[str, ...]:
-        """Return the internal addresses of the seeds but its own."""
+        """Return the internal addresses of the seeds, without this node's own."""
         return tuple(seed for seed in self.seeds if seed != self.internal)
 
     def seed_gossip_addresses(self) -> list[str]:
--- a/packages/node/src/eelgrass_node/process/node.py
+++ b/packages/node/src/eelgrass_node/process/node.py
@@ -1,4 +1,4 @@
-"""A node put together from its parts, from its start to its planned stop."""
+"""Builds a node from its components, and runs it until its planned stop."""
 
 import asyncio
 import time
@@ -53,9 +53,9 @@
 
 
 class Node:
-    """One node: ``start`` it, then ``run_until_stopped``.
+    """One node: call ``start``, then ``run_until_stopped``.
 
-    Everything that lives as long as the process hangs here.
+    It holds every object that lives as long as the process.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -86,7 +86,7 @@
         self._runners: list[web.AppRunner] = []
 
     async def start(self) -> None:
-        """Build what needs an event loop, listen, and join the others."""
+        """Build what needs an event loop, listen, and join the other nodes."""
         self._build()
         self._connect()
         await self.membership.start()
@@ -110,7 +110,7 @@
         )
 
     async def run_until_stopped(self) -> bool:
-        """Serve until a stop is asked for; returns whether nothing was cut off."""
+        """Serve until a stop is requested; return True if no request was cut off."""
         await self.stopping.wait_requested()
         log(Part.NODE, "Stopping.", in_flight=self.stopping.count)
         clean = await self.stopping.finish()
@@ -122,7 +122,7 @@
         return clean and left == 0
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Close all components without waiting for requests in flight."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -274,7 +274,7 @@
             await self._exchange_members()
 
     async def _exchange_members(self) -> None:
-        """Exchange all that is known with some peer."""
+        """Exchange the full membership state with one peer."""
         known = self.membership.members.reachable()
         addresses = [member.internal for member in known]
         if not addresses:
@@ -316,7 +316,11 @@
     def _backend_leaves(self, backend: Backend) -> None:
         entry = backend.entry
         if self.backends.mark_leaving(entry.id, entry.started):
-            log(Part.HOSTS, "A backend server says it leaves.", backend=entry.id)
+            log(
+                Part.HOSTS,
+                "A backend server announced that it is leaving.",
+                backend=entry.id,
+            )
             self._announce_leaving(entry.id, entry.started)
 
     def _count_retry(self, reason: RetryReason) -> None:
--- a/packages/node/src/eelgrass_node/process/peer_catch_up.py
+++ b/packages/node/src/eelgrass_node/process/peer_catch_up.py
@@ -1,8 +1,8 @@
-"""Catches up with the platform's tables through other nodes.
+"""Brings a node up to date from other nodes if the platform's store does not answer.
 
-The platform's store may be out of reach for this node alone, or for all. What
-another node has read is as good as what the store says: rows carry their
-version, and an older one is never taken.
+The store may be unreachable for this node alone, or for all. State that another node
+has read is as good as the store's: rows carry their version, and an older row is never
+applied.
 """
 
 import asyncio
@@ -16,21 +16,22 @@
 
 __all__ = ["PeerCatchUp"]
 
-# The store gets this long to bring a version of which another node has told, and once
-# more while an answer is coming: a second copy would only hold it up.
+# How long to wait for the store to deliver a version that another node has announced.
+# The wait is doubled while an answer is being received, because a second copy would
+# only slow it down.
 STORE_GRACE_S = 0.5
-# Between two tries of a node that knows nothing yet.
+# The delay between two attempts of a node that has no state yet.
 START_RETRY_S = 0.3
 
 
 class PeerCatchUp:
-    """Asks other nodes where the store does not answer.
+    """Fetches state from other nodes if the store does not answer.
 
-    ``ask`` takes in the state of the node at an address; ``number`` is that of
-    the configuration in force here, -1 before the first. ``knows_tables`` says
-    whether all that is needed to serve is known, from wherever. ``addresses`` are
-    those to ask at the start. ``is_arriving`` says whether an answer from the store or
-    a relay is coming.
+    ``ask`` fetches the state of the node at an address and applies it. ``number``
+    returns the number of the configuration in force here, -1 before the first.
+    ``is_ready`` returns whether the node has all state that it needs to serve.
+    ``addresses`` returns the nodes to ask at the start. ``is_receiving`` returns
+    whether an answer from the store or a relay is being received.
     """
 
     def __init__(
@@ -46,12 +47,12 @@
         self._is_ready = is_ready
         self._addresses = addresses
         self._is_receiving = is_receiving
-        # The version that each node told of, by its address; the last to tell last.
+        # The version that each node announced, by address; the latest comes last.
         self._announced_by_address: dict[str, int] = {}
         self._task: asyncio.Task | None = None
 
     def on_number_announced(self, number: int, member: Member, age_s: float) -> None:
-        """Note that another node has the configuration of that number."""
+        """Fetch the configuration from another node if the store does not bring it."""
         if number <= self._number():
             return
         self._announced_by_address.pop(member.internal, None)
@@ -60,9 +61,9 @@
             self._task = asyncio.create_task(self._catch_up())
 
     async def start(self) -> None:
-        """Ask nodes in turn until all tables are known, from wherever.
+        """Ask random nodes until this node is ready to serve.
 
-        One of them alone is not enough: a relay may have lost the other just before,
+        A configuration alone is not enough: the relay may have lost the server table,
         and a node with a configuration and no servers refuses every request.
         """
         await asyncio.sleep(STORE_GRACE_S)
@@ -73,11 +74,11 @@
             await asyncio.sleep(START_RETRY_S)
 
     async def _catch_up(self) -> None:
-        """Ask those that told of a newer version, until one has given it.
+        """Ask the nodes that announced a newer version until one has delivered it.
 
-        One that is frozen is waited for, 0.8 s; the next is asked right after it, since
-        the patience with the store and that wait have used up most of the 2 s within
-        which a version must be in force.
+        A frozen node is given up after 0.8 s and the next one is asked at once: the
+        wait for the store and this one have used up most of the 2 s within which a
+        version must be in force.
         """
         await asyncio.sleep(STORE_GRACE_S)
         if self._is_receiving():
@@ -88,7 +89,7 @@
         self._announced_by_address.clear()
 
     def _last_announcer(self) -> str | None:
-        """Return who told last of a newer version: the least likely to be gone."""
+        """Return the last node to announce a newer version; it is most likely alive."""
         current = self._number()
         announced = reversed(self._announced_by_address.items())
         return next(
@@ -99,4 +100,6 @@
         try:
             await self._ask(address)
         except PeerUnreachable as error:
-            log(Part.CONFIGURATION, "No state from a node.", error=str(error))
+            log(
+                Part.CONFIGURATION, "A node did not return its state.", error=str(error)
+            )
--- a/packages/node/src/eelgrass_node/process/status.py
+++ b/packages/node/src/eelgrass_node/process/status.py
@@ -1,4 +1,4 @@
-"""The status of a node, as operators see it."""
+"""The status of a node, as the operators' interface reports it."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True):
-    """A node and what is believed of it."""
+    """A node and its membership state."""
 
     id: str
     data_centre: str
@@ -24,7 +24,7 @@
 
 
 class BackendStatus(msgspec.Struct, frozen=True):
-    """A backend server: our calls there, our window, and how long calls take."""
+    """This node's calls to a backend server, their window and their mean duration."""
 
     id: str
     service: str
@@ -36,7 +36,7 @@
 
 
 class QueueStatus(msgspec.Struct, frozen=True):
-    """A service's queue; ``wait_ms`` is what a newcomer is to expect."""
+    """A service's queue; ``wait_ms`` is the expected wait of a new request."""
 
     service: str
     waiting: int
@@ -81,7 +81,7 @@
         self._head_reads = head_reads
 
     def collect(self) -> NodeStatus:
-        """Return the status of this moment."""
+        """Return the current status."""
         follower = self._configuration.follower
         return NodeStatus(
             own=_peer(self._membership.own),
--- a/packages/node/src/eelgrass_node/process/stopping.py
+++ b/packages/node/src/eelgrass_node/process/stopping.py
@@ -1,8 +1,8 @@
-"""The planned stop: notice to the balancer, then an end of new work, then out.
+"""The planned stop of a process, without cutting off requests.
 
-A stop has three steps. First the health check fails while requests are still
-taken, because the balancer needs a moment to notice. Then new requests are
-refused. Once the last one in flight has its answer, the process ends.
+A stop has three steps. First the health check fails while requests are still accepted,
+because the load balancer takes a moment to notice. Then new requests are refused. The
+process ends once the last request in flight has its answer.
 """
 
 import asyncio
@@ -13,9 +13,9 @@
 
 
 class Stopping:
-    """Counts the requests in flight and leads the process to its end.
+    """Counts the requests in flight and carries out the planned stop.
 
-    ``notice_s`` is how long requests are still taken after the stop begins, and
+    ``notice_s`` is how long requests are still accepted after the stop begins, and
     ``limit_s`` the longest wait for those in flight, both in seconds.
     """
 
@@ -43,7 +43,10 @@
                 self._idle.set()
 
     def track(self, task: asyncio.Task) -> asyncio.Task:
-        """Hold a task until its end, and read its error if nobody else does."""
+        """Hold a reference to a task until it ends, and retrieve its exception.
+
+        Otherwise asyncio would log an exception that nothing else retrieves.
+        """
         self._tasks.add(task)
         task.add_done_callback(self._done)
         return task
@@ -54,11 +57,11 @@
         self._requested.set()
 
     async def wait_requested(self) -> None:
-        """Wait until a stop is asked for."""
+        """Wait until a stop is requested."""
         await self._requested.wait()
 
     async def finish(self) -> bool:
-        """Lead the stop to its end; returns whether nothing was left in flight."""
+        """Carry out the stop; return True if no request was left in flight."""
         await asyncio.sleep(self._notice_s)
         self.refusing = True
         try:
--- a/packages/node/src/eelgrass_node/process/supervision.py
+++ b/packages/node/src/eelgrass_node/process/supervision.py
@@ -1,4 +1,4 @@
-"""Keeps the long-lived work of a process going."""
+"""Restarts long-running tasks of a process that fail."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,16 +7,16 @@
 
 __all__ = ["keep_running"]
 
-# Between two starts of work that fails by itself; short against the seconds in
-# which a change must be in force.
+# The delay before failed work is restarted. It is short compared with the seconds
+# within which a change must be in force.
 RESTART_DELAY_S = 0.5
 
 
 async def keep_running(work: Callable[[], Awaitable[None]]) -> None:
-    """Run ``work`` until it ends; begin it anew where it fails unexpectedly.
+    """Run ``work`` until it returns; restart it if it raises an exception.
 
-    Without this an error that nobody foresaw would silently end, for example,
-    the following of the configuration, and the node would serve an old one.
+    Without the restart an unexpected error would silently end, for example, the polling
+    for configuration changes, and the node would go on with an old configuration.
     """
     while True:
         try:
@@ -24,5 +24,10 @@
             return
         except Exception as error:  # noqa: BLE001
             name = getattr(work, "__qualname__", repr(work))
-            log(Part.NODE, "Work failed and begins anew.", work=name, error=repr(error))
+            log(
+                Part.NODE,
+                "A task failed and is restarted.",
+                work=name,
+                error=repr(error),
+            )
             await asyncio.sleep(RESTART_DELAY_S)
