--- a/packages/node/tests/test_deployments.py
+++ b/packages/node/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""Whether the configuration in force is known to be superseded."""
+"""Announcements of newer configurations, and when they stop being awaited."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class TestSuperseded:
-    def test_it_is_until_the_newer_one_is_in_force(self):
+    def test_superseded_until_the_newer_configuration_is_in_force(self):
         async def main():
             found = deployments()
             found.apply(b"42", "store")
@@ -27,8 +27,11 @@
 
         assert run_in_simulated_time(main()) == [False, True, False]
 
-    def test_a_node_that_is_behind_as_well_changes_nothing(self):
-        """It told of a number in between, and the newest one was forgotten with it."""
+    def test_an_intermediate_number_does_not_replace_the_newest(self):
+        """A node that is behind as well announced a number in between.
+
+        The newest number was dropped with it.
+        """
 
         async def main():
             found = deployments()
@@ -40,11 +43,11 @@
 
         assert run_in_simulated_time(main())
 
-    def test_one_that_never_comes_is_not_awaited_for_ever(self):
-        """A newer release may have accepted what this one cannot read.
+    def test_an_announced_number_that_never_arrives_expires(self):
+        """Only a newer release may be able to read the announced configuration.
 
-        Others tell its number again and again; unknown routes are refused for good by
-        what is known, in the end.
+        Other nodes announce its number again and again. After the timeout, requests for
+        unknown routes are refused by the configuration in force.
         """
 
         async def main():
@@ -53,14 +56,14 @@
             for _ in range(int(ANNOUNCEMENT_TIMEOUT_S) + 2):
                 found.on_number_announced(51)
                 await asyncio.sleep(1.0)
-            gone = found.superseded
+            awaited = found.superseded
             found.on_number_announced(52)
-            return gone, found.superseded
+            return awaited, found.superseded
 
         assert run_in_simulated_time(main()) == (False, True)
 
-    def test_a_number_that_never_comes_does_not_hide_the_next_ones(self):
-        """A faulty node told of it; the numbers of others are lower."""
+    def test_an_expired_number_does_not_hide_lower_ones(self):
+        """A faulty node announced a number far above those of the other nodes."""
 
         async def main():
             found = deployments()
@@ -75,8 +78,8 @@
 
         assert run_in_simulated_time(main()) == [True, False]
 
-    def test_one_that_never_comes_is_not_awaited_again_each_time_it_is_told(self):
-        """Others tell its number each second for as long as they have it."""
+    def test_an_expired_number_is_not_awaited_again_when_announced_again(self):
+        """Nodes announce the number of their configuration every second."""
 
         async def main():
             found = deployments()
@@ -90,8 +93,8 @@
 
         assert not any(run_in_simulated_time(main()))
 
-    def test_two_that_never_come_are_not_awaited_in_turn(self):
-        """Two nodes of a newer release have different ones, and both tell theirs."""
+    def test_two_expired_numbers_are_not_awaited_in_turn(self):
+        """Two nodes of a newer release announce different configurations."""
 
         async def main():
             found = deployments()
--- a/packages/node/tests/test_gone_rows.py
+++ b/packages/node/tests/test_gone_rows.py
@@ -1,4 +1,4 @@
-"""Rows that are gone: known for followers that are behind, and not for ever."""
+"""Removed rows are remembered for followers that are behind, up to a limit."""
 
 import asyncio
 
@@ -9,11 +9,11 @@
 from support.entry import until
 from support.store_rows import changes, row, table_replica
 
-MOST_GONE = 3
+MAX_REMOVED = 3
 
 
 class EndlessStore:
-    """Adds a row and removes it again with each call, up to a version."""
+    """Adds a row and removes it again in each call, up to a version."""
 
     def __init__(self, until_version):
         self.version = 0
@@ -33,24 +33,24 @@
 
 @pytest.fixture
 async def table(monkeypatch):
-    monkeypatch.setattr(store_tables_module, "MAX_REMOVED_ROWS", MOST_GONE)
+    monkeypatch.setattr(store_tables_module, "MAX_REMOVED_ROWS", MAX_REMOVED)
     store = EndlessStore(40)
-    followed = table_replica(store, "t")
-    task = asyncio.create_task(followed.run())
-    await until(lambda: len(followed.rows()) and followed.snapshot().version == 40)
-    yield followed
+    replica = table_replica(store, "t")
+    task = asyncio.create_task(replica.run())
+    await until(lambda: len(replica.rows()) and replica.snapshot().version == 40)
+    yield replica
     task.cancel()
 
 
-class TestGoneRows:
-    async def test_they_do_not_fill_the_memory(self, table):
-        """Keys are never used again: a node that runs for weeks would keep them all."""
-        assert len(table.rows()) == MOST_GONE
+class TestRemovedRows:
+    async def test_their_number_is_bounded(self, table):
+        """Keys are never reused, so a node that runs for weeks would keep them all."""
+        assert len(table.rows()) == MAX_REMOVED
 
-    async def test_a_follower_that_is_far_behind_reads_the_table_anew(self, table):
+    async def test_a_follower_that_is_far_behind_must_read_the_whole_table(self, table):
         with pytest.raises(HistoryGone):
             table.changes_after(20)
 
-    async def test_one_that_is_a_little_behind_is_told(self, table):
+    async def test_a_follower_that_is_a_little_behind_gets_the_removals(self, table):
         gone = table.changes_after(36).rows
         assert [(r.version, r.value) for r in gone] == [(38, None), (40, None)]
--- a/packages/node/tests/test_large_answers.py
+++ b/packages/node/tests/test_large_answers.py
@@ -1,8 +1,8 @@
-"""An answer that takes long because it is large is not taken for silence.
+"""Large answers do not time out while their data keeps arriving.
 
-A table of the store, or what another node knows of it, grows with the deployment, and
-links of 5 Mbit/s carry 0.6 MB in a second. An answer that was still coming at the end
-of a fixed wait was thrown away and asked for again, there or elsewhere, for ever.
+A table of the store, or a node's state, grows with the deployment, and links of
+5 Mbit/s carry 0.6 MB in a second. With a fixed timeout for the complete answer, an
+answer that was still being received was discarded and requested again without end.
 """
 
 import asyncio
@@ -23,11 +23,11 @@
 from support.fault_proxy import FaultProxy, Link
 from support.serving import served
 
-# A link of 5 Mbit/s, and rows that take it two seconds.
+# A link of 5 Mbit/s, and rows whose transfer takes two seconds.
 BYTES_PER_S = 0.6e6
 ROWS = 200
 ROW_BYTES = 4500
-# After this, nobody waits for an answer that has stopped.
+# An answer that has stopped arriving is given up within this time.
 GIVEN_UP_S = 2.0
 
 
@@ -40,7 +40,7 @@
 
 @asynccontextmanager
 async def served_narrowly(add_routes):
-    """Serve what ``add_routes`` adds over a narrow link; give the link's proxy."""
+    """Serve the added routes over a slow link; yield the proxy of the link."""
     async with served(add_routes) as address:
         proxy = FaultProxy(address, Link(BYTES_PER_S))
         try:
@@ -58,7 +58,7 @@
 
 
 class OtherNode:
-    """Answers every call with rows that do not compress, or with half of them."""
+    """Answers every call with uncompressed rows, or with a part of the answer."""
 
     def __init__(self, part=1.0):
         rows = [
@@ -86,7 +86,7 @@
 
 
 def unknown(table, key):
-    """Return no row: this node knows nothing of the table."""
+    """Return no row: this node has no state of the table."""
     return
 
 
@@ -100,17 +100,17 @@
 
 
 class TestStore:
-    async def test_a_whole_read_that_comes_slowly_is_taken(self):
+    async def test_a_full_read_that_arrives_slowly_succeeds(self):
         async with row_store(large_store()) as (client, _):
             changes = await client.read_table("servers")
         assert len(changes.rows) == ROWS
 
-    async def test_changes_that_come_slowly_are_taken(self):
+    async def test_a_feed_that_arrives_slowly_succeeds(self):
         async with row_store(large_store()) as (client, _):
             changes = await client.feed("servers", 0, 0.0)
         assert len(changes.rows) == ROWS
 
-    async def test_one_that_comes_is_told_as_such(self):
+    async def test_an_answer_being_received_is_reported(self):
         async with row_store(large_store()) as (client, _):
             call = asyncio.create_task(client.feed("servers", 0, 0.0))
             await asyncio.sleep(0.5)
@@ -119,8 +119,8 @@
             await call
             assert client.arriving_since("servers") is None
 
-    async def test_one_that_trickles_is_given_up(self):
-        """Others may have it sooner, and nobody else is asked meanwhile."""
+    async def test_an_answer_that_trickles_is_given_up(self):
+        """Another node may deliver it sooner, but none is asked meanwhile."""
         async with row_store(large_store()) as (client, proxy):
             proxy.link.bytes_per_s = 10_000
             began = time.monotonic()
@@ -128,7 +128,7 @@
                 await client.feed("servers", 0, 0.0)
         assert time.monotonic() - began < GIVEN_UP_S
 
-    async def test_one_that_stops_midway_is_given_up(self):
+    async def test_an_answer_that_stops_midway_is_given_up(self):
         async with row_store(large_store()) as (client, proxy):
             call = asyncio.create_task(client.feed("servers", 0, 0.0))
             await asyncio.sleep(0.3)
@@ -140,12 +140,12 @@
 
 
 def suspend_host():
-    """Stop all that runs here for longer than any silence that is borne."""
+    """Block this process for longer than any read timeout."""
     time.sleep(1.0)
 
 
 class SuspendedNode(OtherNode):
-    """Its host is suspended, with that of the caller, in the middle of an answer."""
+    """Suspends its own host and the caller's in the middle of an answer."""
 
     async def handle(self, request):
         body = json.dumps(self._answers[request.match_info["call"]]).encode()
@@ -161,8 +161,8 @@
 
 
 class TestSuspension:
-    async def test_what_has_come_when_it_ends_is_read(self):
-        """The end of the wait came together with it, and all was thrown away."""
+    async def test_data_that_arrived_during_the_suspension_is_read(self):
+        """The timeout fired in the same loop turn, and the answer was discarded."""
         async with (
             served(SuspendedNode().add_routes) as address,
             aiohttp.ClientSession() as session,
@@ -173,14 +173,14 @@
 
 
 class TestOtherNodes:
-    async def test_a_relay_whose_answer_comes_slowly_is_listened_to(self):
+    async def test_a_relay_answer_that_arrives_slowly_succeeds(self):
         async with peer_calls(OtherNode()) as (calls, address):
             changes = await TableFeedClient(calls, unknown).ask(
                 address, "servers", 0, 0.1
             )
         assert len(changes.rows) == ROWS
 
-    async def test_a_state_that_comes_slowly_is_taken(self):
+    async def test_a_state_that_arrives_slowly_succeeds(self):
         async with peer_calls(OtherNode()) as (calls, address):
             state = await calls.ask(address, STATE_CALL, None, PeerState, 0.5)
         assert len(state.servers) == ROWS
@@ -190,5 +190,5 @@
             began = time.monotonic()
             with pytest.raises(PeerUnreachable, match="bytes"):
                 await TableFeedClient(calls, unknown).ask(address, "servers", 0, 0.1)
-        # Half of the answer takes a second of it.
+        # The transfer of half of the answer takes one second.
         assert time.monotonic() - began < 1.0 + GIVEN_UP_S
--- a/packages/node/tests/test_row_difference.py
+++ b/packages/node/tests/test_row_difference.py
@@ -1,4 +1,4 @@
-"""A small change of a large row is told to nodes that have the row before it."""
+"""Changes of a large row are sent as differences to nodes that have the old row."""
 
 import base64
 import random
@@ -30,7 +30,7 @@
 
 
 def edited(value, randomness):
-    """Return a value with some bytes removed, added, moved or written twice."""
+    """Return a value with some bytes removed, added, reversed or duplicated."""
     for _ in range(randomness.randint(0, 4)):
         begin, end = sorted(randomness.choices(range(len(value) + 1), k=2))
         part = value[begin:end]
@@ -41,7 +41,7 @@
 
 class TestDifference:
     @pytest.mark.parametrize("seed", range(SEEDS))
-    def test_it_makes_the_row_again(self, seed):
+    def test_applying_it_gives_the_new_row(self, seed):
         randomness = random.Random(seed)
         value = bytes(randomness.choices(b"{}ab", k=randomness.randint(0, 60)))
         before = row("config", 1, value)
@@ -51,19 +51,19 @@
     def test_a_small_change_of_a_large_configuration_is_small(self):
         before = configured(5)
         after = configured(6, route("newest", "idempotent", "desk"))
-        told = msgspec.json.encode(compute_difference(before, after))
-        assert len(told) < 1000 < 400_000 < len(after.value)
+        sent = msgspec.json.encode(compute_difference(before, after))
+        assert len(sent) < 1000 < 400_000 < len(after.value)
 
     @pytest.mark.parametrize(
         "known", [None, row("config", 5, None), row("config", 4, b"{a}{b}")]
     )
-    def test_it_is_not_taken_for_another_row(self, known):
-        meant = row("config", 5, b"{a}{b}")
-        difference = compute_difference(meant, row("config", 6, b"{a}{c}"))
+    def test_it_is_rejected_for_another_row(self, known):
+        base = row("config", 5, b"{a}{b}")
+        difference = compute_difference(base, row("config", 6, b"{a}{c}"))
         with pytest.raises(DifferenceMismatch):
             apply_difference(known, difference)
 
-    def test_nor_for_another_value_of_that_version(self):
+    def test_it_is_rejected_for_another_value_of_the_same_version(self):
         difference = compute_difference(
             row("config", 5, b"{a}{b}"), row("config", 6, b"{a}{c}")
         )
@@ -72,7 +72,7 @@
 
 
 class TestFeed:
-    """A relay that has seen two versions, and a follower that knows some row."""
+    """A relay that has seen two versions, and a follower with a row of its own."""
 
     @pytest.fixture
     async def feed(self):
@@ -104,19 +104,19 @@
             )
             await proxy.stop()
 
-    async def test_one_that_has_the_row_before_it_is_told_what_changed(self, feed):
+    async def test_a_follower_with_the_previous_row_gets_a_difference(self, feed):
         assert await feed.ask(5) == changes(6, feed.newer)
         assert feed.link.sent < 2000
 
-    async def test_one_that_has_another_row_gets_it_whole(self, feed):
+    async def test_a_follower_with_another_row_gets_the_full_row(self, feed):
         feed.known.row = row("config", 4, b"{}")
         assert await feed.ask(5) == changes(6, feed.newer)
 
-    async def test_one_that_has_a_newer_row_takes_none(self, feed):
+    async def test_a_follower_with_a_newer_row_gets_no_row(self, feed):
         feed.known.row = row("config", 9, b"{}")
         assert await feed.ask(5) == changes(6)
 
-    async def test_one_that_knew_less_than_the_row_before_gets_it_whole(self, feed):
+    async def test_no_difference_for_a_follower_older_than_the_previous_row(self, feed):
         table = table_replica(None, TABLE)
         table._apply_snapshot(changes(4))
         table._apply(changes(5, feed.older))
@@ -124,11 +124,11 @@
         assert table.previous_large_row("config", 4) is None
         assert table.previous_large_row("config", 5) == feed.older
 
-    async def test_the_whole_table_is_told_whole(self, feed):
+    async def test_a_full_read_has_full_rows(self, feed):
         assert await feed.ask(None) == changes(6, feed.newer)
 
-    async def test_a_node_of_an_older_release_gets_it_whole(self, feed):
-        """It does not say that it takes differences, and would not see any."""
+    async def test_a_node_of_an_older_release_gets_the_full_row(self, feed):
+        """It does not declare support for differences, and would ignore them."""
         asked = {"table": TABLE, "after": 5, "wait_s": 0.0}
         async with (
             aiohttp.ClientSession() as session,
--- a/packages/node/tests/test_row_store.py
+++ b/packages/node/tests/test_row_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store against answers as its page describes them."""
+"""The client of the platform's store against a store with the documented API."""
 
 import asyncio
 import base64
@@ -18,7 +18,7 @@
 
 
 class PagedStore:
-    """Answers whole reads row by row; a first row changes between two pages."""
+    """Serves full reads one row per page; the first row changes between two pages."""
 
     def __init__(self):
         self.version_by_key = {"a": 1, "b": 2}
@@ -41,29 +41,29 @@
         return web.json_response(page)
 
 
-class TestWholeReads:
+class TestFullReads:
     async def test_a_change_between_two_pages_is_not_skipped(self):
-        """Changes are asked for from the version on that is returned here.
+        """The feed continues from the version that the full read returns.
 
-        With that of the last page, a change of a row on an earlier one was never
-        heard of; a table of more than 500 rows takes two pages.
+        If that were the version of the last page, a change of a row on an earlier page
+        would be missed. A table of more than 500 rows takes two pages.
         """
         paged = PagedStore()
         async with served(paged.add_routes) as address:
             store = RowStore(address)
-            whole = await store.read_table("servers")
+            table = await store.read_table("servers")
             await store.close()
-        assert [(r.key, r.version) for r in whole.rows] == [("a", 1), ("b", 2)]
-        assert whole.version == 2
+        assert [(r.key, r.version) for r in table.rows] == [("a", 1), ("b", 2)]
+        assert table.version == 2
 
 
 class TestSilentConnections:
-    async def test_only_one_call_is_lost_to_connections_that_have_gone_silent(self):
-        """A call on another kept connection would be lost, too, and both waits add up.
+    async def test_only_one_call_fails_on_silent_connections(self):
+        """After a timeout, the next call must not use another pooled connection.
 
-        Open connections may go silent for good while new ones work. Nodes that read
-        two tables at their start kept two connections, and took the second, just as
-        silent, after the first. With the pauses that is 3.1 s; 2 s are promised.
+        Open connections may stop working for good while new ones work. Nodes read two
+        tables at their start and so have two connections in the pool; trying the second
+        after the first takes 3.1 s with the backoff, and the deadline is 2 s.
         """
         stand_in = RowStoreStandIn()
         stand_in.put("op", "config", {})
--- a/packages/node/tests/test_store_following.py
+++ b/packages/node/tests/test_store_following.py
@@ -1,4 +1,4 @@
-"""Following the store: outages, lost history, lapsed entries, old states."""
+"""Table replicas and the server list: outages, lost history and old states."""
 
 import asyncio
 import time
@@ -26,7 +26,7 @@
 
 
 class Script:
-    """A store that answers by a script: changes, or errors to raise."""
+    """A store with scripted answers: changes, or errors to raise."""
 
     def __init__(self, *answers):
         self._answers = list(answers)
@@ -52,38 +52,38 @@
 
 async def follow(*answers):
     script = Script(*answers)
-    taken, whole = [], []
+    applied, snapshots = [], []
     table = table_replica(
         script,
         "t",
-        on_rows=lambda rows, source: taken.extend((r.key, r.version) for r in rows),
-        on_snapshot=whole.append,
-        on_store_recovered=lambda: whole.append("returned"),
+        on_rows=lambda rows, source: applied.extend((r.key, r.version) for r in rows),
+        on_snapshot=snapshots.append,
+        on_store_recovered=lambda: snapshots.append("recovered"),
     )
     task = asyncio.create_task(table.run())
     async with asyncio.timeout(5):
         await script.done.wait()
     task.cancel()
-    return script.asked, taken, whole
+    return script.asked, applied, snapshots
 
 
-class TestFollowedTable:
-    async def test_changes_follow_a_whole_read(self):
-        asked, taken, whole = await follow(
+class TestTableReplica:
+    async def test_changes_follow_a_full_read(self):
+        asked, applied, snapshots = await follow(
             changes(5, row("a", 3)), changes(7, row("a", 7))
         )
         assert asked == ["read", 5, 7]
-        assert taken == [("a", 3), ("a", 7)]
+        assert applied == [("a", 3), ("a", 7)]
 
-    async def test_lost_history_leads_to_a_whole_read(self):
-        asked, taken, whole = await follow(
+    async def test_lost_history_leads_to_a_full_read(self):
+        asked, applied, snapshots = await follow(
             changes(5, row("a", 3)), HistoryGone("t"), changes(9, row("a", 9))
         )
         assert asked == ["read", 5, "read", 9]
-        assert taken == [("a", 3), ("a", 9)]
+        assert applied == [("a", 3), ("a", 9)]
 
-    async def test_history_that_is_gone_again_at_once_is_not_asked_for_in_haste(self):
-        """Found by the soak: 483 whole reads in a second, each of them paid for."""
+    async def test_full_reads_back_off_if_the_history_is_lost_again_at_once(self):
+        """Without a backoff there were 483 full reads in a second, each with a cost."""
         answers = [changes(5), HistoryGone("t")] * 50
         script = Script(*answers)
         table = table_replica(script, "t")
@@ -92,55 +92,55 @@
         task.cancel()
         assert len(script.asked) <= 6
 
-    async def test_an_older_state_is_not_believed(self):
-        asked, taken, whole = await follow(
+    async def test_an_older_state_is_rejected(self):
+        asked, applied, snapshots = await follow(
             changes(9, row("a", 9)),
             HistoryGone("t"),
             changes(4, row("a", 3)),
             changes(10, row("a", 9), row("b", 10)),
         )
-        assert taken == [("a", 9), ("b", 10)]
+        assert applied == [("a", 9), ("b", 10)]
 
-    async def test_an_outage_is_told_before_what_changed_in_it(self):
-        asked, taken, whole = await follow(
+    async def test_recovery_is_reported_before_the_changes_during_the_outage(self):
+        asked, applied, snapshots = await follow(
             changes(1, row("a", 1)),
             StoreUnavailable("t", "down"),
             HistoryGone("t"),
             changes(2, row("a", 1)),
         )
-        assert whole == [{"a"}, "returned", {"a"}]
+        assert snapshots == [{"a"}, "recovered", {"a"}]
 
-    async def test_also_where_the_feed_goes_on(self):
-        asked, taken, whole = await follow(
+    async def test_recovery_is_reported_also_if_the_feed_continues(self):
+        asked, applied, snapshots = await follow(
             changes(1, row("a", 1)),
             StoreUnavailable("t", "down"),
             changes(2, row("a", 2, None)),
         )
-        assert whole == [{"a"}, "returned"]
-        assert taken == [("a", 1), ("a", 2)]
+        assert snapshots == [{"a"}, "recovered"]
+        assert applied == [("a", 1), ("a", 2)]
 
 
-class TestRowsFromOthers:
-    """Another node may know less of a table than this one."""
+class TestRowsFromPeers:
+    """A peer may have an older state of a table than this node."""
 
     async def test_a_removed_row_does_not_come_back(self):
-        """Its removal is not told again: a server would stay in use for good.
+        """Its removal would not be reported again, and a server would stay in use.
 
-        After lost history the table is read whole, and nothing of a row that was
-        removed is kept; the other node had not seen the removal yet.
+        After lost history the table is read in full, and the replica keeps no trace of
+        a removed row. The peer has not seen the removal yet.
         """
-        taken = []
+        applied = []
         table = table_replica(
             Script(changes(5, row("a", 3)), HistoryGone("t"), changes(9)),
             "t",
-            on_rows=lambda rows, source: taken.extend((r.key, r.value) for r in rows),
+            on_rows=lambda rows, source: applied.extend((r.key, r.value) for r in rows),
         )
         task = asyncio.create_task(table.run())
         await asyncio.sleep(0.05)
         assert table.rows() == ()
         table.apply_peer_rows((row("a", 3), row("b", 12)), "n1:1")
         task.cancel()
-        assert taken == [("a", b"x"), ("b", b"x")]
+        assert applied == [("a", b"x"), ("b", b"x")]
         assert [r.key for r in table.rows()] == ["b"]
 
 
@@ -180,12 +180,12 @@
         assert self.usable() == {"i2"}
         assert self.left == ["i1"]
 
-    async def test_a_removed_server_is_gone_at_once(self):
+    async def test_a_removed_server_is_dropped_at_once(self):
         servers = self.listing("i1", "i2")
         servers.apply_rows((row("i1", 2, None),))
         assert self.usable() == {"i2"}
 
-    async def test_entries_that_lapsed_in_an_outage_may_come_back(self):
+    async def test_entries_that_expired_in_an_outage_may_come_back(self):
         servers = self.listing("i1", "i2")
         servers.on_outage_end()
         servers.apply_snapshot({"i2"})
@@ -194,31 +194,31 @@
         await asyncio.sleep(0.3)
         assert self.usable() == {"i1", "i2"}
 
-    async def test_also_where_the_feed_tells_of_them(self):
+    async def test_entries_that_the_feed_removes_after_an_outage_may_come_back(self):
         servers = self.listing("i1", "i2")
         servers.on_outage_end()
         servers.apply_rows((row("i1", 2, None),))
         assert self.usable() == {"i1", "i2"}
 
-    async def test_one_still_missing_then_is_gone(self):
+    async def test_an_entry_that_stays_missing_is_dropped(self):
         servers = self.listing("i1", "i2")
         servers.on_outage_end()
         servers.apply_snapshot({"i2"})
         await asyncio.sleep(0.3)
         assert self.usable() == {"i2"}
 
-    async def test_a_malformed_entry_names_no_server_and_the_others_hold(self):
+    async def test_a_malformed_entry_is_ignored_and_the_others_stay(self):
         servers = self.listing("i1", "i2")
         servers.apply_rows((row("i1", 2, b"bad"), row("i3", 3, b"bad")))
         assert self.usable() == {"i2"}
 
-    async def test_its_server_is_used_again_once_it_is_listed_well(self):
+    async def test_a_server_is_used_again_once_its_entry_is_well_formed(self):
         servers = self.listing("i1", "i2")
         servers.apply_rows((row("i1", 2, b"bad"),))
         servers.apply_rows((row("i1", 3, b"{}"),))
         assert self.usable() == {"i1", "i2"}
 
-    async def test_a_server_that_starts_again_takes_the_place_of_its_earlier_life(self):
+    async def test_a_restarted_server_replaces_its_earlier_incarnation(self):
         servers = self.listing("i1")
         servers.apply_rows((row("i1", 2, b'{"started": 5}'),))
         [earlier] = self.backends.usable("s")
@@ -231,7 +231,7 @@
         assert self.backends.has_ended(earlier.entry.incarnation)
         assert not self.backends.has_ended(later.entry.incarnation)
 
-    async def test_a_life_that_left_does_not_hold_back_the_next_one(self):
+    async def test_an_incarnation_that_left_does_not_block_the_next_one(self):
         servers = self.listing("i1")
         servers.apply_rows((row("i1", 2, b'{"started": 5, "state": "leaving"}'),))
         assert self.usable() == set()
@@ -241,21 +241,21 @@
     @pytest.mark.parametrize(
         "stale", [b'{"started": 5}', b'{"started": 5, "state": "leaving"}', b"{}"]
     )
-    async def test_news_of_an_earlier_life_changes_nothing(self, stale):
-        """A delayed write of an earlier life lands after the next life's first."""
+    async def test_an_entry_of_an_earlier_incarnation_is_ignored(self, stale):
+        """A delayed write may arrive after the first one of the next incarnation."""
         servers = self.listing("i1")
         servers.apply_rows((row("i1", 2, b'{"started": 9}'),))
         [known] = self.backends.usable("s")
         servers.apply_rows((row("i1", 3, stale),))
         assert self.backends.usable("s") == [known]
 
-    async def test_also_after_the_server_was_removed(self):
+    async def test_an_entry_of_an_earlier_incarnation_is_ignored_after_a_removal(self):
         servers = self.listing("i1", "i2")
         servers.apply_rows((row("i1", 2, b'{"started": 9}'), row("i1", 3, None)))
         servers.apply_rows((row("i1", 4, b'{"started": 5}'),))
         assert self.usable() == {"i2"}
 
-    async def test_a_replaced_life_does_not_take_the_next_one_with_it(self):
+    async def test_forgetting_a_replaced_incarnation_keeps_the_next_one(self):
         servers = self.listing("i1")
         servers.apply_rows((row("i1", 2, b'{"started": 5}'),))
         [earlier] = self.backends.usable("s")
@@ -265,7 +265,7 @@
         servers.forget(self.backends.usable("s")[0].entry.incarnation)
         assert self.usable() == set()
 
-    async def test_starts_of_servers_that_are_gone_are_not_kept_for_ever(
+    async def test_the_start_times_kept_for_removed_servers_are_bounded(
         self, monkeypatch
     ):
         monkeypatch.setattr(server_list_module, "MAX_REMEMBERED", 10)
@@ -278,14 +278,14 @@
 
 
 class TestSupervision:
-    async def test_work_that_fails_unexpectedly_begins_anew(self, monkeypatch):
+    async def test_work_that_fails_unexpectedly_is_restarted(self, monkeypatch):
         monkeypatch.setattr(supervision, "RESTART_DELAY_S", 0.01)
         began = []
 
         async def work():
             began.append(1)
             if len(began) < 3:
-                raise KeyError("nobody foresaw this")
+                raise KeyError("unexpected")
 
         await supervision.keep_running(work)
         assert len(began) == 3
@@ -296,25 +296,25 @@
         number = int(raw)
         return Deployment(number, {}, {}, {}, False, CallerLimits(1, 1.0))
 
-    async def test_it_never_goes_back(self):
-        heard = []
-        in_force = DeploymentInForce("config", self.decode, heard.append)
+    async def test_an_older_configuration_is_rejected(self):
+        numbers = []
+        in_force = DeploymentInForce("config", self.decode, numbers.append)
         in_force.apply_rows((row("config", 1, b"5"), row("other", 2, b"9")), "store")
         assert in_force.apply(b"4", "peer") is False
         assert in_force.number == 5
         assert in_force.apply(b"8", "peer") is True
-        assert heard == [5, 8]
+        assert numbers == [5, 8]
 
 
 class TestCancelling:
-    """A process that wakes from a pause finds that its timeouts have passed."""
+    """After a stall of the process, a timeout and a cancellation may coincide."""
 
     @staticmethod
     async def cancel_with_the_timeout(work, timeout_s):
         loop = asyncio.get_running_loop()
         began = loop.time()
         task = asyncio.create_task(work)
-        # The loop is held up over both, so that they come in one turn.
+        # The loop is blocked across both, so that they fall into one turn.
         loop.call_at(began + timeout_s * 0.9, time.sleep, timeout_s * 0.3)
         loop.call_at(began + timeout_s * 1.1, task.cancel)
         with pytest.raises(asyncio.CancelledError):
@@ -327,14 +327,14 @@
 
         return await listen(hang)
 
-    async def test_a_call_to_the_store_keeps_its_cancellation(self):
+    async def test_a_call_to_the_store_is_cancelled(self):
         server, address = await self.silent_server()
         store = RowStore(address)
         await self.cancel_with_the_timeout(store.feed("t", 1, 0.0), RESPONSE_TIMEOUT_S)
         await store.close()
         server.close()
 
-    async def test_a_call_to_another_node_keeps_its_cancellation(self):
+    async def test_a_call_to_another_node_is_cancelled(self):
         server, address = await self.silent_server()
         async with new_session(1.0) as session:
             call = PeerCalls(session).ask(address, "state", None, dict, 0.5)
