--- a/packages/node/src/eelgrass_node/process/table_relay.py
+++ b/packages/node/src/eelgrass_node/process/table_relay.py
@@ -109,8 +109,11 @@
         self._backed_off_until: dict[str, float] = {}
         # Tables for which the last call to the store failed.
         self._unavailable_tables: set[str] = set()
+        # The version of the replica of each table.
         self._version_by_table: dict[str, int] = {}
+        # Tables for which the store answered the last feed call.
         self._answering_tables: set[str] = set()
+        # Tables read from the store at the start, before the first feed call.
         self._just_read_tables: set[str] = set()
         self._source_by_table: dict[str, str] = {}
 
--- a/packages/node/tests/test_store_return.py
+++ b/packages/node/tests/test_store_return.py
@@ -83,15 +83,15 @@
         await running
         return [
             *(
-                (node, number, self.late_s(outages, node, at, taken))
+                (node, number, self.late_s(outages, node, at, applied))
                 for node in nodes
                 for number, at in changed_at.items()
-                for taken in [simulation.applied_at.get((node, number), 99.0)]
+                for applied in [simulation.applied_at.get((node, number), 99.0)]
             ),
             *(
-                (node, "i1", self.late_s(outages, node, removed_at, taken))
+                (node, "i1", self.late_s(outages, node, removed_at, applied))
                 for node in nodes
-                for taken in [simulation.removed_at.get((node, "i1"), 99.0)]
+                for applied in [simulation.removed_at.get((node, "i1"), 99.0)]
             ),
         ]
 
--- a/packages/node/tests/test_table_relay.py
+++ b/packages/node/tests/test_table_relay.py
@@ -178,7 +178,7 @@
         """
         silent = Source(PeerUnreachable("r1:1", "silent"))
         by_address = {"r1:1": silent, "r2:1": self.relay}
-        self.store.answer = StoreUnavailable(TABLE, "turned away")
+        self.store.answer = StoreUnavailable(TABLE, "rejected")
         reader = RelayedReader(
             self.store,
             lambda table: [member("r1"), member("r2")],
--- a/tests/test_users_platform.py
+++ b/tests/test_users_platform.py
@@ -102,7 +102,7 @@
     @pytest.fixture(autouse=True)
     def prompt_news(self, monkeypatch):
         monkeypatch.setattr(platform_tables, "SERVERS_FEED_DELAY_S", 0.01)
-        monkeypatch.setattr(table_relay, "SETTLE_S", 0.01)
+        monkeypatch.setattr(table_relay, "MEMBERSHIP_SETTLE_S", 0.01)
 
     async def test_results_of_the_earlier_life_are_made_again(self, entry):
         """A handle of the earlier life names another request's result by now."""
