--- a/packages/node/src/eelgrass_node/process/changes.py
+++ b/packages/node/src/eelgrass_node/process/changes.py
@@ -100,10 +100,10 @@
 
     async def _wait_for_member(self, member: Member, revision: Revision) -> bool:
         message = {"revision": revision, "wait_s": IN_FORCE_WAIT_S}
-        within = IN_FORCE_WAIT_S + 1
+        timeout_s = IN_FORCE_WAIT_S + 1
         try:
             reached = await self._peers.ask(
-                member.internal, "revision", message, RevisionReply, within
+                member.internal, "revision", message, RevisionReply, timeout_s
             )
         except PeerUnreachable:
             return False
--- a/packages/node/src/eelgrass_node/process/claimed_requests.py
+++ b/packages/node/src/eelgrass_node/process/claimed_requests.py
@@ -75,10 +75,10 @@
         The second value is True if the answer comes from an earlier run.
         """
         while True:
-            held = await self._acquire(request)
-            if held.acquired:
-                return await self._execute(held, execute), False
-            finished_claim = await self._finished_claim(request, held.claim)
+            acquisition = await self._acquire(request)
+            if acquisition.acquired:
+                return await self._execute(acquisition, execute), False
+            finished_claim = await self._finished_claim(request, acquisition.claim)
             if finished_claim is not None:
                 return finished_claim.answer, True
 
@@ -98,9 +98,9 @@
         claim = self._new_claim(request)
         # Registered before the write, because a peer may see the row before this node.
         self._running_by_id[claim.claim_id] = running = _Running()
-        within = min(self._settle_s, request.remaining())
+        timeout_s = min(self._settle_s, request.remaining())
         try:
-            held = await self._claims.acquire(claim, within)
+            acquisition = await self._claims.acquire(claim, timeout_s)
         except ClaimUnsettled as error:
             self._forget(claim.claim_id, running)
             raise _refused(
@@ -109,45 +109,47 @@
         except BaseException:
             self._forget(claim.claim_id, running)
             raise
-        if not held.acquired:
+        if not acquisition.acquired:
             self._forget(claim.claim_id, running)
-        return held
+        return acquisition
 
-    async def _execute(self, held: Acquisition, execute: Execute) -> Any:
-        running = self._running_by_id[held.claim.claim_id]
+    async def _execute(self, acquisition: Acquisition, execute: Execute) -> Any:
+        running = self._running_by_id[acquisition.claim.claim_id]
         try:
             answer = await execute()
         except Refused as refused:
-            if held.version > 1 and refused.outcome is Outcome.NOT_RUN:
+            if acquisition.version > 1 and refused.outcome is Outcome.NOT_RUN:
                 # The claim was released by an earlier call, whose repeatable stages may
                 # have run.
                 refused.outcome = Outcome.NO_EFFECT
-            await self._store(held, self._after_refusal(held, refused))
+            await self._store(acquisition, self._after_refusal(acquisition, refused))
             raise
         except BaseException:
             note = "the node met an error"
-            await self._store(held, self._claims.mark_unknown(held, note))
+            await self._store(acquisition, self._claims.mark_unknown(acquisition, note))
             raise
         else:
-            await self._store(held, self._claims.complete(held, answer))
+            await self._store(acquisition, self._claims.complete(acquisition, answer))
             return answer
         finally:
-            self._forget_later(held.claim.claim_id, running)
+            self._forget_later(acquisition.claim.claim_id, running)
 
-    def _after_refusal(self, held: Acquisition, refused: Refused) -> Awaitable[bool]:
+    def _after_refusal(
+        self, acquisition: Acquisition, refused: Refused
+    ) -> Awaitable[bool]:
         if refused.outcome is Outcome.UNKNOWN:
             log(
                 Part.CLAIMS,
                 "The outcome of a keyed request is unknown.",
-                account=held.claim.account,
-                claim=held.claim.claim_id,
+                account=acquisition.claim.account,
+                claim=acquisition.claim.claim_id,
                 reason=refused.reason.value,
             )
-            return self._claims.mark_unknown(held, str(refused))
+            return self._claims.mark_unknown(acquisition, str(refused))
         # NO_EFFECT allows a new run as well: only repeatable stages were started.
-        return self._claims.release(held)
+        return self._claims.release(acquisition)
 
-    async def _store(self, held: Acquisition, storing: Awaitable[bool]) -> None:
+    async def _store(self, acquisition: Acquisition, storing: Awaitable[bool]) -> None:
         """Store the end of a claim, in the background if the store is slow."""
         task = self._claims.finish_in_background(storing)
         await asyncio.wait({task}, timeout=STORE_BEFORE_ANSWER_S)
@@ -192,10 +194,10 @@
     async def _ask_owner(self, claim: Claim, wait_s: float) -> OwnerReply:
         message = {"claim_id": claim.claim_id, "wait_s": wait_s}
         address = claim.owner_address
-        within = wait_s + OWNER_REPLY_MARGIN_S
+        timeout_s = wait_s + OWNER_REPLY_MARGIN_S
         try:
             return await self._peers.ask(
-                address, "claims/wait", message, OwnerReply, within
+                address, "claims/wait", message, OwnerReply, timeout_s
             )
         except PeerUnreachable as error:
             raise _refused(
--- a/packages/node/src/eelgrass_node/process/configuration.py
+++ b/packages/node/src/eelgrass_node/process/configuration.py
@@ -33,7 +33,7 @@
 POLLERS_KEY = "pollers"
 POLLERS_PER_DATA_CENTRE = 2
 PEER_TIMEOUT_S = 2.0
-START_PEERS = 8
+MAX_START_PEERS = 8
 
 
 class RevisionReply(msgspec.Struct, frozen=True):
@@ -71,13 +71,13 @@
         change_log: ChangeLog,
         snapshots: SnapshotStore,
         peers: PeerCalls,
-        polls: Callable[[], bool],
+        should_poll: Callable[[], bool],
         interval_s: float,
     ) -> None:
         self._change_log = change_log
         self._snapshots = snapshots
         self._peers = peers
-        self._polls = polls
+        self._should_poll = should_poll
         self._interval_s = interval_s
         self._fetching: set[asyncio.Task] = set()
         self._fetch_lock = asyncio.Lock()
@@ -89,7 +89,7 @@
     async def run(self) -> None:
         """Poll while this node is a poller, until cancelled."""
         while True:
-            if self._polls() or not self.follower.ready:
+            if self._should_poll() or not self.follower.ready:
                 await self.poll()
             await asyncio.sleep(self._interval_s)
 
@@ -143,7 +143,7 @@
 
         Peers are asked for their revision first, because a snapshot is large.
         """
-        asked = members[:START_PEERS]
+        asked = members[:MAX_START_PEERS]
         revisions = await asyncio.gather(*(self._revision_of(m) for m in asked))
         best = max(zip(revisions, range(len(asked)), strict=True), default=(0, 0))
         if best[0] > 0:
--- a/packages/node/src/eelgrass_node/process/host_list.py
+++ b/packages/node/src/eelgrass_node/process/host_list.py
@@ -27,7 +27,7 @@
 class HostListPoller:
     """Polls the host list; during an outage the last list stays in force.
 
-    ``polls`` returns whether this node is currently a poller of its data centre.
+    ``should_poll`` returns whether this node is currently a poller of its data centre.
     ``on_leaving`` is called for each entry that is newly listed as leaving.
     """
 
@@ -36,14 +36,14 @@
         session: aiohttp.ClientSession,
         platform_address: str,
         backends: Backends,
-        polls: Callable[[], bool],
+        should_poll: Callable[[], bool],
         interval_s: float,
         timeout_s: float,
     ) -> None:
         self._session = session
         self._url = f"{platform_address}/v1/hosts"
         self._backends = backends
-        self._polls = polls
+        self._should_poll = should_poll
         self._interval_s = interval_s
         self._timeout_s = timeout_s
         self._failing = False
@@ -56,7 +56,7 @@
             # A long list is read less often to bound the bytes per second. There are
             # several pollers, and each announces the changes that it sees.
             await asyncio.sleep(max(self._interval_s, self._bytes / BYTES_PER_S))
-            if self._failing or turn % NON_POLLER_INTERVALS == 0 or self._polls():
+            if self._failing or turn % NON_POLLER_INTERVALS == 0 or self._should_poll():
                 await self.poll()
 
     async def poll(self) -> None:
--- a/packages/node/src/eelgrass_node/process/node.py
+++ b/packages/node/src/eelgrass_node/process/node.py
@@ -46,7 +46,7 @@
 
 __all__ = ["Node"]
 
-LEAVING_MARK = "leaving"
+LEAVING_KIND = "leaving"
 MEMBER_EXCHANGE_S = 30.0
 MEMBER_EXCHANGE_TIMEOUT_S = 2.0
 DRAIN_CLAIMS_S = 10.0
@@ -163,14 +163,14 @@
             self.change_log,
             self.snapshots,
             self.peers,
-            self._polls,
+            self._should_poll,
             timing.head_poll_ms / 1000,
         )
         self.host_list = HostListPoller(
             self._session,
             platform.address,
             self.backends,
-            self._polls,
+            self._should_poll,
             timing.hosts_poll_ms / 1000,
             call_s,
         )
@@ -203,15 +203,15 @@
             chunk_gap_floor_s=timing.between_pieces_floor_ms / 1000,
             on_retry=self._count_retry,
             on_discard=self._count_discard,
-            on_leaving=self._backend_leaves,
+            on_leaving=self._on_backend_leaving,
             on_cost_unknown=self.cost_reconciler.reconcile,
         )
 
     def _connect(self) -> None:
         membership = self.membership
         membership.on_revision = self.configuration.on_revision_announced
-        membership.on_gossip_item = self._hear_mark
-        membership.on_change = self._members_changed
+        membership.on_gossip_item = self._on_gossip_item
+        membership.on_change = self._on_members_changed
         membership.confirmed_s = self.configuration.follower.age
         self.configuration.on_advance = self._announce_revision
         self.host_list.on_leaving = self._announce_leaving
@@ -275,8 +275,8 @@
 
     async def _exchange_members(self) -> None:
         """Exchange the full membership state with one peer."""
-        known = self.membership.members.reachable()
-        addresses = [member.internal for member in known]
+        reachable = self.membership.members.reachable()
+        addresses = [member.internal for member in reachable]
         if not addresses:
             addresses = [peer.internal for peer in self.settings.peers]
         for address in addresses[:3]:
@@ -294,10 +294,10 @@
         self.membership.apply_exchange(theirs)
         return True
 
-    def _polls(self) -> bool:
+    def _should_poll(self) -> bool:
         return is_poller(self.membership.own, self.membership.members.reachable())
 
-    def _members_changed(self) -> None:
+    def _on_members_changed(self) -> None:
         self.backends.set_live_nodes(len(self.membership.members.reachable()) + 1)
 
     def _announce_revision(self, revision: Revision) -> None:
@@ -306,14 +306,14 @@
 
     def _announce_leaving(self, backend_id: str, started: int) -> None:
         self.membership.announce_gossip_item(
-            GossipItem(LEAVING_MARK, backend_id, started)
+            GossipItem(LEAVING_KIND, backend_id, started)
         )
 
-    def _hear_mark(self, mark: GossipItem) -> None:
-        if mark.kind == LEAVING_MARK:
-            self.backends.mark_leaving(mark.name, mark.number)
+    def _on_gossip_item(self, item: GossipItem) -> None:
+        if item.kind == LEAVING_KIND:
+            self.backends.mark_leaving(item.name, item.number)
 
-    def _backend_leaves(self, backend: Backend) -> None:
+    def _on_backend_leaving(self, backend: Backend) -> None:
         entry = backend.entry
         if self.backends.mark_leaving(entry.id, entry.started):
             log(
