--- a/packages/node/src/eelgrass_node/process/changes.py
+++ b/packages/node/src/eelgrass_node/process/changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes: checked here, committed through the change log."""
+"""Checks operators' changes and commits them through the change log."""
 
 import asyncio
 
@@ -36,7 +36,7 @@
 
 
 class Changes:
-    """Submits changes and waits until they are in force."""
+    """Submits changes and reports on which nodes they are in force."""
 
     def __init__(
         self,
@@ -61,17 +61,21 @@
         )
         if result.outcome is not ChangeOutcome.ACCEPTED:
             return ChangeReport(result)
-        await self._take_up(result.revision)
+        await self._catch_up(result.revision)
         await self._snapshots.save_if_due(self._configuration.follower.snapshot)
         return await self._report(result)
 
-    async def _take_up(self, revision: Revision) -> None:
-        # Read back rather than applied from the request: a repeated change id
-        # stands for the change that was accepted under it first.
+    async def _catch_up(self, revision: Revision) -> None:
+        # The change is read back instead of applied from the request, because a
+        # repeated change id refers to the change first accepted under it.
         try:
             await self._configuration.catch_up(revision)
         except PlatformError as error:
-            log(Part.CONFIGURATION, "A change waits for a poll.", error=str(error))
+            log(
+                Part.CONFIGURATION,
+                "A change is committed but not readable yet; the next poll applies it.",
+                error=str(error),
+            )
 
     async def _report(self, result: ChangeResult) -> ChangeReport:
         revision = result.revision
@@ -80,8 +84,14 @@
             *(self._wait_for_member(member, revision) for member in members)
         )
         own = self._membership.own.id
-        in_force = [m.id for m, there in zip(members, reached, strict=True) if there]
-        not_yet = [m.id for m, there in zip(members, reached, strict=True) if not there]
+        in_force = [
+            m.id for m, is_in_force in zip(members, reached, strict=True) if is_in_force
+        ]
+        not_yet = [
+            m.id
+            for m, is_in_force in zip(members, reached, strict=True)
+            if not is_in_force
+        ]
         if self._configuration.follower.revision >= revision:
             in_force.append(own)
         else:
@@ -90,10 +100,10 @@
 
     async def _wait_for_member(self, member: Member, revision: Revision) -> bool:
         message = {"revision": revision, "wait_s": IN_FORCE_WAIT_S}
-        within = IN_FORCE_WAIT_S + 1
+        timeout_s = IN_FORCE_WAIT_S + 1
         try:
             reached = await self._peers.ask(
-                member.internal, "revision", message, RevisionReply, within
+                member.internal, "revision", message, RevisionReply, timeout_s
             )
         except PeerUnreachable:
             return False
--- a/packages/node/src/eelgrass_node/process/claimed_requests.py
+++ b/packages/node/src/eelgrass_node/process/claimed_requests.py
@@ -1,4 +1,4 @@
-"""Requests under an idempotency key: one run, and one answer for every repeat."""
+"""Runs a request with an idempotency key once, and answers repeats from that run."""
 
 import asyncio
 import time
@@ -20,16 +20,16 @@
 
 __all__ = ["ClaimedRequests", "OwnerReply", "OwnerState"]
 
-FINISHED_KEPT_S = 60.0
+FINISHED_RETENTION_S = 60.0
 STORE_BEFORE_ANSWER_S = 0.25
-OWNER_MARGIN_S = 0.05
+OWNER_REPLY_MARGIN_S = 0.05
 RETRY_AFTER_S = 1.0
 
 Execute = Callable[[], Awaitable[Any]]
 
 
 class OwnerState(Enum):
-    """What an owner says of a claim."""
+    """The state of a claim, as its owner reports it."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -43,14 +43,14 @@
 
 
 class _Running:
-    """A claim that this process runs, or ran a while ago."""
+    """A claim that this process runs, or that it finished a short time ago."""
 
     def __init__(self) -> None:
         self.finished = asyncio.Event()
 
 
 class ClaimedRequests:
-    """The keyed requests of this process."""
+    """Runs the keyed requests of this process."""
 
     def __init__(
         self,
@@ -70,20 +70,20 @@
         self._running_by_id: dict[ClaimId, _Running] = {}
 
     async def run(self, request: CallerRequest, execute: Execute) -> tuple[Any, bool]:
-        """Run the request unless its key was used; return the answer.
+        """Run the request unless its key was used before; return the answer.
 
-        The second value says whether the answer is that of an earlier run.
+        The second value is True if the answer comes from an earlier run.
         """
         while True:
-            held = await self._acquire(request)
-            if held.acquired:
-                return await self._execute(held, execute), False
-            settled = await self._settled_answer(request, held.claim)
-            if settled is not None:
-                return settled.answer, True
+            acquisition = await self._acquire(request)
+            if acquisition.acquired:
+                return await self._execute(acquisition, execute), False
+            finished_claim = await self._finished_claim(request, acquisition.claim)
+            if finished_claim is not None:
+                return finished_claim.answer, True
 
     async def wait_until_finished(self, claim_id: ClaimId, wait_s: float) -> OwnerReply:
-        """Answer a peer that asks for a claim of ours; waits for its end."""
+        """Wait until a claim of this process finishes; return its state for a peer."""
         running = self._running_by_id.get(claim_id)
         if running is None:
             return OwnerReply(OwnerState.NOT_MINE)
@@ -96,11 +96,11 @@
 
     async def _acquire(self, request: CallerRequest) -> Acquisition:
         claim = self._new_claim(request)
-        # Registered before the write: a peer may see the row before we do.
+        # Registered before the write, because a peer may see the row before this node.
         self._running_by_id[claim.claim_id] = running = _Running()
-        within = min(self._settle_s, request.remaining())
+        timeout_s = min(self._settle_s, request.remaining())
         try:
-            held = await self._claims.acquire(claim, within)
+            acquisition = await self._claims.acquire(claim, timeout_s)
         except ClaimUnsettled as error:
             self._forget(claim.claim_id, running)
             raise _refused(
@@ -109,53 +109,55 @@
         except BaseException:
             self._forget(claim.claim_id, running)
             raise
-        if not held.acquired:
+        if not acquisition.acquired:
             self._forget(claim.claim_id, running)
-        return held
+        return acquisition
 
-    async def _execute(self, held: Acquisition, execute: Execute) -> Any:
-        running = self._running_by_id[held.claim.claim_id]
+    async def _execute(self, acquisition: Acquisition, execute: Execute) -> Any:
+        running = self._running_by_id[acquisition.claim.claim_id]
         try:
             answer = await execute()
         except Refused as refused:
-            if held.version > 1 and refused.outcome is Outcome.NOT_RUN:
-                # The released claim of an earlier call: its repeatable stages
-                # may have run.
+            if acquisition.version > 1 and refused.outcome is Outcome.NOT_RUN:
+                # The claim was released by an earlier call, whose repeatable stages may
+                # have run.
                 refused.outcome = Outcome.NO_EFFECT
-            await self._store(held, self._after_refusal(held, refused))
+            await self._store(acquisition, self._after_refusal(acquisition, refused))
             raise
         except BaseException:
             note = "the node met an error"
-            await self._store(held, self._claims.mark_unknown(held, note))
+            await self._store(acquisition, self._claims.mark_unknown(acquisition, note))
             raise
         else:
-            await self._store(held, self._claims.complete(held, answer))
+            await self._store(acquisition, self._claims.complete(acquisition, answer))
             return answer
         finally:
-            self._forget_later(held.claim.claim_id, running)
+            self._forget_later(acquisition.claim.claim_id, running)
 
-    def _after_refusal(self, held: Acquisition, refused: Refused) -> Awaitable[bool]:
+    def _after_refusal(
+        self, acquisition: Acquisition, refused: Refused
+    ) -> Awaitable[bool]:
         if refused.outcome is Outcome.UNKNOWN:
             log(
                 Part.CLAIMS,
-                "A keyed request has an unknown outcome.",
-                account=held.claim.account,
-                claim=held.claim.claim_id,
+                "The outcome of a keyed request is unknown.",
+                account=acquisition.claim.account,
+                claim=acquisition.claim.claim_id,
                 reason=refused.reason.value,
             )
-            return self._claims.mark_unknown(held, str(refused))
-        # NO_EFFECT is as good as not run: only repeatable stages began.
-        return self._claims.release(held)
+            return self._claims.mark_unknown(acquisition, str(refused))
+        # NO_EFFECT allows a new run as well: only repeatable stages were started.
+        return self._claims.release(acquisition)
 
-    async def _store(self, held: Acquisition, storing: Awaitable[bool]) -> None:
-        """Store the end of a claim; goes on in the background if it is slow."""
+    async def _store(self, acquisition: Acquisition, storing: Awaitable[bool]) -> None:
+        """Store the end of a claim, in the background if the store is slow."""
         task = self._claims.finish_in_background(storing)
         await asyncio.wait({task}, timeout=STORE_BEFORE_ANSWER_S)
 
-    async def _settled_answer(
+    async def _finished_claim(
         self, request: CallerRequest, claim: Claim
     ) -> Claim | None:
-        """Return the completed claim, None to look again, or raise Refused."""
+        """Return the completed claim, or None to acquire again, or raise Refused."""
         if claim.digest != request.digest or claim.pipeline != request.pipeline.name:
             raise Refused(RefusalReason.KEY_REUSED, Outcome.NOT_RUN)
         if claim.state is ClaimState.COMPLETED:
@@ -164,11 +166,11 @@
             raise _refused(RefusalReason.CLAIM_OUTCOME_UNKNOWN, claim.note)
         if claim.state is ClaimState.RESOLVED:
             raise _refused(RefusalReason.CLAIM_RESOLVED, claim.note)
-        await self._wait_on_owner(request, claim)
+        await self._wait_for_owner(request, claim)
         return None
 
-    async def _wait_on_owner(self, request: CallerRequest, claim: Claim) -> None:
-        wait_s = request.remaining() - OWNER_MARGIN_S
+    async def _wait_for_owner(self, request: CallerRequest, claim: Claim) -> None:
+        wait_s = request.remaining() - OWNER_REPLY_MARGIN_S
         if wait_s <= 0:
             raise _refused(RefusalReason.CLAIM_STILL_RUNNING, retry_after=RETRY_AFTER_S)
         if claim.owner_incarnation == self._incarnation:
@@ -178,24 +180,24 @@
         if reply.state is OwnerState.RUNNING:
             raise _refused(RefusalReason.CLAIM_STILL_RUNNING, retry_after=RETRY_AFTER_S)
         if reply.state is OwnerState.FINISHED:
-            # Its final row may be a moment behind its answer.
-            await asyncio.sleep(OWNER_MARGIN_S)
+            # The owner may reply shortly before it writes the final row.
+            await asyncio.sleep(OWNER_REPLY_MARGIN_S)
             return
         row = await self._claims.find(claim.account, claim.key)
         if row.value is not None and row.value["state"] != ClaimState.RUNNING.value:
             return
         raise _refused(
             RefusalReason.CLAIM_OUTCOME_UNKNOWN,
-            "The node that began it has since stopped.",
+            "The node that started the request has stopped since.",
         )
 
     async def _ask_owner(self, claim: Claim, wait_s: float) -> OwnerReply:
         message = {"claim_id": claim.claim_id, "wait_s": wait_s}
         address = claim.owner_address
-        within = wait_s + OWNER_MARGIN_S
+        timeout_s = wait_s + OWNER_REPLY_MARGIN_S
         try:
             return await self._peers.ask(
-                address, "claims/wait", message, OwnerReply, within
+                address, "claims/wait", message, OwnerReply, timeout_s
             )
         except PeerUnreachable as error:
             raise _refused(
@@ -226,7 +228,7 @@
     def _forget_later(self, claim_id: ClaimId, running: _Running) -> None:
         running.finished.set()
         loop = asyncio.get_running_loop()
-        loop.call_later(FINISHED_KEPT_S, self._running_by_id.pop, claim_id, None)
+        loop.call_later(FINISHED_RETENTION_S, self._running_by_id.pop, claim_id, None)
 
 
 def _refused(
--- a/packages/node/src/eelgrass_node/process/configuration.py
+++ b/packages/node/src/eelgrass_node/process/configuration.py
@@ -1,8 +1,8 @@
 """Keeps the node at the newest configuration revision.
 
-A few nodes per data centre poll the head row; the others hear of a new revision
-from their peers and fetch the changes from whoever told them. So the reads of
-the table service do not grow with the number of nodes.
+A few nodes per data centre poll the head row. The other nodes learn of a new revision
+by gossip and fetch the changes from the peer that announced it. So the number of reads
+from the table service does not grow with the number of nodes.
 """
 
 import asyncio
@@ -33,17 +33,17 @@
 POLLERS_KEY = "pollers"
 POLLERS_PER_DATA_CENTRE = 2
 PEER_TIMEOUT_S = 2.0
-START_PEERS = 8
+MAX_START_PEERS = 8
 
 
 class RevisionReply(msgspec.Struct, frozen=True):
-    """A peer's answer: the revision in force there."""
+    """A peer's reply: the revision in force there."""
 
     revision: Revision
 
 
 class PeerChanges(msgspec.Struct, frozen=True):
-    """A peer's answer: the changes asked for, or a whole snapshot."""
+    """A peer's reply: the requested changes, or a snapshot instead."""
 
     changes: tuple[Change, ...] | None = None
     snapshot: Snapshot | None = None
@@ -52,19 +52,18 @@
 def is_poller(own: Member, members: list[Member]) -> bool:
     """Return whether ``own`` is among the pollers of its data centre.
 
-    The choice is by a hash of the node id, so it moves only where nodes come
-    or go. Nodes that see different members may both poll, which does no harm.
+    Pollers are chosen by a hash of the node id, so the choice changes only when nodes
+    join or leave. Nodes that see different members may both poll, which is harmless.
     """
-    near = [m for m in members if m.data_centre == own.data_centre]
-    pollers = ranked([*near, own], POLLERS_KEY, name=lambda member: member.id)
+    local = [m for m in members if m.data_centre == own.data_centre]
+    pollers = ranked([*local, own], POLLERS_KEY, name=lambda member: member.id)
     return own.id in [member.id for member in pollers[:POLLERS_PER_DATA_CENTRE]]
 
 
 class ConfigurationSync:
     """Follows the change log, directly or through peers.
 
-    ``version`` is what new requests use. ``on_advance`` is told each new
-    revision.
+    New requests use ``version``. ``on_advance`` is called with each new revision.
     """
 
     def __init__(
@@ -72,13 +71,13 @@
         change_log: ChangeLog,
         snapshots: SnapshotStore,
         peers: PeerCalls,
-        polls: Callable[[], bool],
+        should_poll: Callable[[], bool],
         interval_s: float,
     ) -> None:
         self._change_log = change_log
         self._snapshots = snapshots
         self._peers = peers
-        self._polls = polls
+        self._should_poll = should_poll
         self._interval_s = interval_s
         self._fetching: set[asyncio.Task] = set()
         self._fetch_lock = asyncio.Lock()
@@ -90,7 +89,7 @@
     async def run(self) -> None:
         """Poll while this node is a poller, until cancelled."""
         while True:
-            if self._polls() or not self.follower.ready:
+            if self._should_poll() or not self.follower.ready:
                 await self.poll()
             await asyncio.sleep(self._interval_s)
 
@@ -101,11 +100,15 @@
             await self.catch_up(head)
         except PlatformError as error:
             if not self._failing:
-                log(Part.CONFIGURATION, "The head is unreadable.", error=str(error))
+                log(
+                    Part.CONFIGURATION,
+                    "The head of the change log cannot be read.",
+                    error=str(error),
+                )
             self._failing = True
             return
         if self._failing:
-            log(Part.CONFIGURATION, "The head is readable again.")
+            log(Part.CONFIGURATION, "The head of the change log can be read again.")
         self._failing = False
         self.follower.confirm(head)
 
@@ -118,16 +121,16 @@
         return self.follower.snapshot
 
     def advance(self, changes: list[Change] | tuple[Change, ...]) -> bool:
-        """Apply changes; returns False where some are missing in between."""
+        """Apply changes; return False if some are missing in between."""
         before = self.follower.revision
         complete = try_advance(self.follower, changes)
-        self._renew(before)
+        self._publish_version(before)
         return complete
 
     def on_revision_announced(
         self, revision: Revision, member: Member, age_s: float
     ) -> None:
-        """Take in what a peer said of its revision."""
+        """Fetch the changes from a peer that announced a newer revision."""
         if revision > self.follower.revision:
             task = asyncio.create_task(self._fetch(member))
             self._fetching.add(task)
@@ -136,11 +139,11 @@
             self.follower.confirm(revision, age_s)
 
     async def start(self, members: list[Member]) -> None:
-        """Take the newest configuration to be had: from a peer, then the platform.
+        """Load the newest configuration from a peer, or else from the platform.
 
         Peers are asked for their revision first, because a snapshot is large.
         """
-        asked = members[:START_PEERS]
+        asked = members[:MAX_START_PEERS]
         revisions = await asyncio.gather(*(self._revision_of(m) for m in asked))
         best = max(zip(revisions, range(len(asked)), strict=True), default=(0, 0))
         if best[0] > 0:
@@ -153,12 +156,16 @@
         try:
             snapshot = await self._snapshots.newest()
         except PlatformError as error:
-            log(Part.CONFIGURATION, "No snapshot is readable.", error=str(error))
+            log(
+                Part.CONFIGURATION,
+                "The newest snapshot cannot be read.",
+                error=str(error),
+            )
             return
         if snapshot is not None:
             before = self.follower.revision
             self.follower.replace(snapshot)
-            self._renew(before)
+            self._publish_version(before)
 
     async def _revision_of(self, member: Member) -> int:
         message = {"revision": 0, "wait_s": 0.0}
@@ -185,19 +192,23 @@
                     member.internal, "changes", message, PeerChanges, PEER_TIMEOUT_S
                 )
             except PeerUnreachable as error:
-                log(Part.CONFIGURATION, "A peer gave no changes.", error=str(error))
+                log(
+                    Part.CONFIGURATION,
+                    "The changes could not be fetched from a peer.",
+                    error=str(error),
+                )
                 return
-            self._take(answer)
+            self._apply_reply(answer)
 
-    def _take(self, answer: PeerChanges) -> None:
+    def _apply_reply(self, answer: PeerChanges) -> None:
         before = self.follower.revision
         if answer.snapshot is not None:
             self.follower.replace(answer.snapshot)
         elif answer.changes:
             try_advance(self.follower, answer.changes)
-        self._renew(before)
+        self._publish_version(before)
 
-    def _renew(self, before: Revision) -> None:
+    def _publish_version(self, before: Revision) -> None:
         revision = self.follower.revision
         if revision == before:
             return
--- a/packages/node/src/eelgrass_node/process/node.py
+++ b/packages/node/src/eelgrass_node/process/node.py
@@ -1,4 +1,4 @@
-"""A node put together from its parts, from its start to its planned stop."""
+"""Builds a node from its components, and runs it until its planned stop."""
 
 import asyncio
 import time
@@ -46,16 +46,16 @@
 
 __all__ = ["Node"]
 
-LEAVING_MARK = "leaving"
+LEAVING_KIND = "leaving"
 MEMBER_EXCHANGE_S = 30.0
 MEMBER_EXCHANGE_TIMEOUT_S = 2.0
 DRAIN_CLAIMS_S = 10.0
 
 
 class Node:
-    """One node: ``start`` it, then ``run_until_stopped``.
+    """One node: call ``start``, then ``run_until_stopped``.
 
-    Everything that lives as long as the process hangs here.
+    It holds every object that lives as long as the process.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -86,7 +86,7 @@
         self._runners: list[web.AppRunner] = []
 
     async def start(self) -> None:
-        """Build what needs an event loop, listen, and join the others."""
+        """Build what needs an event loop, listen, and join the other nodes."""
         self._build()
         self._connect()
         await self.membership.start()
@@ -110,7 +110,7 @@
         )
 
     async def run_until_stopped(self) -> bool:
-        """Serve until a stop is asked for; returns whether nothing was cut off."""
+        """Serve until a stop is requested; return True if no request was cut off."""
         await self.stopping.wait_requested()
         log(Part.NODE, "Stopping.", in_flight=self.stopping.count)
         clean = await self.stopping.finish()
@@ -122,7 +122,7 @@
         return clean and left == 0
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Close all components without waiting for requests in flight."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -163,14 +163,14 @@
             self.change_log,
             self.snapshots,
             self.peers,
-            self._polls,
+            self._should_poll,
             timing.head_poll_ms / 1000,
         )
         self.host_list = HostListPoller(
             self._session,
             platform.address,
             self.backends,
-            self._polls,
+            self._should_poll,
             timing.hosts_poll_ms / 1000,
             call_s,
         )
@@ -203,15 +203,15 @@
             chunk_gap_floor_s=timing.between_pieces_floor_ms / 1000,
             on_retry=self._count_retry,
             on_discard=self._count_discard,
-            on_leaving=self._backend_leaves,
+            on_leaving=self._on_backend_leaving,
             on_cost_unknown=self.cost_reconciler.reconcile,
         )
 
     def _connect(self) -> None:
         membership = self.membership
         membership.on_revision = self.configuration.on_revision_announced
-        membership.on_gossip_item = self._hear_mark
-        membership.on_change = self._members_changed
+        membership.on_gossip_item = self._on_gossip_item
+        membership.on_change = self._on_members_changed
         membership.confirmed_s = self.configuration.follower.age
         self.configuration.on_advance = self._announce_revision
         self.host_list.on_leaving = self._announce_leaving
@@ -274,9 +274,9 @@
             await self._exchange_members()
 
     async def _exchange_members(self) -> None:
-        """Exchange all that is known with some peer."""
-        known = self.membership.members.reachable()
-        addresses = [member.internal for member in known]
+        """Exchange the full membership state with one peer."""
+        reachable = self.membership.members.reachable()
+        addresses = [member.internal for member in reachable]
         if not addresses:
             addresses = [peer.internal for peer in self.settings.peers]
         for address in addresses[:3]:
@@ -294,10 +294,10 @@
         self.membership.apply_exchange(theirs)
         return True
 
-    def _polls(self) -> bool:
+    def _should_poll(self) -> bool:
         return is_poller(self.membership.own, self.membership.members.reachable())
 
-    def _members_changed(self) -> None:
+    def _on_members_changed(self) -> None:
         self.backends.set_live_nodes(len(self.membership.members.reachable()) + 1)
 
     def _announce_revision(self, revision: Revision) -> None:
@@ -306,17 +306,21 @@
 
     def _announce_leaving(self, backend_id: str, started: int) -> None:
         self.membership.announce_gossip_item(
-            GossipItem(LEAVING_MARK, backend_id, started)
+            GossipItem(LEAVING_KIND, backend_id, started)
         )
 
-    def _hear_mark(self, mark: GossipItem) -> None:
-        if mark.kind == LEAVING_MARK:
-            self.backends.mark_leaving(mark.name, mark.number)
+    def _on_gossip_item(self, item: GossipItem) -> None:
+        if item.kind == LEAVING_KIND:
+            self.backends.mark_leaving(item.name, item.number)
 
-    def _backend_leaves(self, backend: Backend) -> None:
+    def _on_backend_leaving(self, backend: Backend) -> None:
         entry = backend.entry
         if self.backends.mark_leaving(entry.id, entry.started):
-            log(Part.HOSTS, "A backend server says it leaves.", backend=entry.id)
+            log(
+                Part.HOSTS,
+                "A backend server announced that it is leaving.",
+                backend=entry.id,
+            )
             self._announce_leaving(entry.id, entry.started)
 
     def _count_retry(self, reason: RetryReason) -> None:
--- a/packages/node/src/eelgrass_node/process/store_tables.py
+++ b/packages/node/src/eelgrass_node/process/store_tables.py
@@ -1,8 +1,8 @@
-"""Follows one table of the platform's store, through outages and lost history.
+"""A replica of one table of the platform's store that survives outages.
 
-The follower reads the table whole, then asks for changes again and again. What
-it has taken in never goes back: a row is taken only with a newer version, and a
-whole read that is older than what is known is not believed.
+The replica starts with a full read of the table and then polls for changes. It never
+goes back to an older state: a row is applied only if its version is newer, and a full
+read that is older than the replica is rejected.
 """
 
 import asyncio
@@ -18,15 +18,16 @@
 
 __all__ = ["TableReplica", "StoredRow", "TableChanges", "TableReader"]
 
-# In bytes of the value; smaller rows fit into a few packets.
+# Size of the value, in bytes, from which a row is sent as a difference; smaller rows
+# fit into a few packets.
 LARGE_ROW_BYTES = 4096
-# Rows that are gone and still known one by one, for followers that are behind; servers
-# come and go with new ids for as long as a node runs.
-MAX_GONE = 1000
+# How many removed rows are remembered for followers that are behind. The number is
+# bounded because servers come and go under new ids for as long as a node runs.
+MAX_REMOVED_ROWS = 1000
 
 
 class StoredRow(msgspec.Struct, frozen=True):
-    """A row of a table; ``value`` is None where the row is gone."""
+    """A row of a table; ``value`` is None if the row was removed."""
 
     key: str
     version: int
@@ -34,34 +35,39 @@
 
     @property
     def is_large(self) -> bool:
-        """Whether it pays to send only what has changed in it."""
+        """Whether a change of the row is worth sending as a difference."""
         return self.value is not None and len(self.value) >= LARGE_ROW_BYTES
 
 
 class TableChanges(msgspec.Struct, frozen=True):
-    """Rows, and the version of the store up to which they are complete."""
+    """Changed rows, complete up to a version of the store."""
 
     rows: tuple[StoredRow, ...]
     version: int
 
 
 class TableReader(Protocol):
-    """What the follower needs of the store."""
+    """The read operations that a replica needs."""
 
     async def read_table(self, table: str) -> TableChanges:
         """Return all rows of a table; raises :class:`StoreUnavailable`."""
 
     async def feed(self, table: str, after: int, wait_s: float) -> TableChanges:
-        """Return changed rows; raises also :class:`HistoryGone`."""
+        """Return the rows changed after a version, waiting for the first change.
+
+        Raises :class:`StoreUnavailable`, and :class:`HistoryGone` if the history does
+        not go back to the version.
+        """
 
 
 class TableReplica:
     """One table of the store, kept up to date by :meth:`run`.
 
-    ``on_rows`` is told the rows that changed and from where they came, ``on_whole``
-    the keys there are after a whole read, and before either ``on_return`` that the
-    store had been out of reach. ``wait_s`` bounds one wait for changes and
-    ``promised_s`` is the time within which a change must be in force, in seconds.
+    ``on_rows`` is called with the rows that changed and their source, and
+    ``on_snapshot`` with all existing keys after a full read. After an outage,
+    ``on_store_recovered`` is called before either of them. ``wait_s`` bounds one wait
+    for changes and ``deadline_s`` is the time within which a change must be in force,
+    in seconds.
     """
 
     def __init__(
@@ -69,27 +75,27 @@
         reader: TableReader,
         table: str,
         on_rows: Callable[[tuple[StoredRow, ...], str], None],
-        on_whole: Callable[[set[str]], None],
-        on_return: Callable[[], None],
+        on_snapshot: Callable[[set[str]], None],
+        on_store_recovered: Callable[[], None],
         wait_s: float,
-        promised_s: float,
+        deadline_s: float,
     ) -> None:
         self._reader = reader
         self._table = table
         self._on_rows = on_rows
-        self._on_whole = on_whole
-        self._on_return = on_return
+        self._on_snapshot = on_snapshot
+        self._on_store_recovered = on_store_recovered
         self._wait_s = wait_s
-        self._lost_pace = StoreBackoff(promised_s)
-        self._gone_pace = StoreBackoff(promised_s)
+        self._unavailable_backoff = StoreBackoff(deadline_s)
+        self._history_backoff = StoreBackoff(deadline_s)
         self._row_by_key: dict[str, StoredRow] = {}
-        # Large rows that the one of their key has replaced.
-        self._before_by_key: dict[str, StoredRow] = {}
-        # The keys of rows that are gone, in the order in which they went.
-        self._gone_keys: deque[str] = deque()
+        # For each key the large row that the current row has replaced.
+        self._previous_by_key: dict[str, StoredRow] = {}
+        # The keys of removed rows, in the order of their removal.
+        self._removed_keys: deque[str] = deque()
         self._version = -1
-        self._whole = False
-        # Removals before this version are not known one by one.
+        self._is_complete = False
+        # The version up to which removals may have been forgotten or missed.
         self._complete_from = -1
         self._changed = asyncio.Event()
         self.reachable = True
@@ -98,45 +104,49 @@
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
-        gone_before = False
+        was_gone = False
         while True:
             try:
                 if await self._step():
-                    gone_before = False
-                    self._gone_pace.reset()
-                self._lost_pace.reset()
+                    was_gone = False
+                    self._history_backoff.reset()
+                self._unavailable_backoff.reset()
             except HistoryGone:
-                self._whole = False
-                log(Part.STORE, "The history is gone; reading all.", table=self._table)
-                # Once is cured by reading all at once; where it is gone again
-                # straight after that, nothing is gained by haste.
-                if gone_before:
-                    await asyncio.sleep(self._gone_pace.next_delay_s())
-                gone_before = True
+                self._is_complete = False
+                log(
+                    Part.STORE,
+                    "The store has dropped its history; reading the whole table.",
+                    table=self._table,
+                )
+                # The first time a full read follows at once. If the history is gone
+                # again right after it, another immediate read would not help.
+                if was_gone:
+                    await asyncio.sleep(self._history_backoff.next_delay_s())
+                was_gone = True
             except StoreUnavailable as error:
-                again_s = self._lost_pace.next_delay_s()
-                self._note_lost(error, again_s)
+                again_s = self._unavailable_backoff.next_delay_s()
+                self._on_lost(error, again_s)
                 await asyncio.sleep(again_s)
 
     @property
     def has_rows(self) -> bool:
-        """Whether the table was ever read, or another node told of rows of it."""
+        """Whether the table was ever read, or another node has sent rows of it."""
         return self._version >= 0 or bool(self._row_by_key)
 
     def rows(self) -> tuple[StoredRow, ...]:
-        """Return all rows that are known, for a node that reaches no store."""
+        """Return all known rows, for a node that cannot reach the store."""
         return tuple(self._row_by_key.values())
 
     def row(self, key: str) -> StoredRow | None:
-        """Return the row of a key as it is known, also where it is gone."""
+        """Return the last known row of a key, which may be a removal."""
         return self._row_by_key.get(key)
 
     def previous_large_row(self, key: str, version: int) -> StoredRow | None:
-        """Return the large row that the one of a key has replaced.
+        """Return the large row that the current row of a key has replaced.
 
-        None where there is none, or it was not there yet at a version.
+        Return None if there is none, or if it is newer than ``version``.
         """
-        before = self._before_by_key.get(key)
+        before = self._previous_by_key.get(key)
         if before is None or before.version > version:
             return None
         return before
@@ -147,25 +157,25 @@
         return self._version
 
     def snapshot(self) -> TableChanges:
-        """Return all rows that there are, as of the version that is known.
+        """Return all existing rows, as of the replica's version.
 
-        Raises :class:`StoreUnavailable` where the table has yet to be read whole.
+        Raises :class:`StoreUnavailable` until the table has been read in full.
         """
-        self._check_whole()
+        self._check_complete()
         rows = (row for row in self._row_by_key.values() if row.value is not None)
         return TableChanges(tuple(rows), self._version)
 
     def changes_after(self, version: int) -> TableChanges:
         """Return the rows changed after a version, in the order of their change.
 
-        Raises :class:`HistoryGone` where removals since then may be missing, and
-        :class:`StoreUnavailable` where the table has yet to be read whole.
+        Raises :class:`HistoryGone` if removals since then may be missing, and
+        :class:`StoreUnavailable` until the table has been read in full.
         """
-        self._check_whole()
+        self._check_complete()
         if version < self._complete_from:
             raise HistoryGone(self._table)
-        # Rows that came from other nodes may be newer than what is complete here; a
-        # follower would get them again with each call, at once.
+        # Rows from other nodes may be newer than the version up to which this replica
+        # is complete. A follower would get them again with every call, without a wait.
         rows = [
             row
             for row in self._row_by_key.values()
@@ -174,12 +184,12 @@
         rows.sort(key=lambda row: row.version)
         return TableChanges(tuple(rows), self._version)
 
-    def _check_whole(self) -> None:
-        if not self._whole:
-            raise StoreUnavailable(self._table, "it has yet to be read whole")
+    def _check_complete(self) -> None:
+        if not self._is_complete:
+            raise StoreUnavailable(self._table, "it has not been read in full yet")
 
     async def wait_for_change(self, within_s: float) -> None:
-        """Wait until rows have changed or the store is lost, or for so long."""
+        """Wait until rows change or the store is lost, at most ``within_s``."""
         changed = self._changed
         try:
             async with asyncio.timeout(within_s):
@@ -188,45 +198,47 @@
             return
 
     def apply_peer_rows(self, rows: tuple[StoredRow, ...], node: str) -> None:
-        """Take in what another node, named by its address, knows of the table.
+        """Apply the rows of another node, which is named by its address.
 
-        All changes up to the version of this table are known here. An older row that
-        is not known was removed, and nobody would tell of its removal again.
+        This replica has all changes up to its version. An older row that is missing
+        here was removed; if it were applied, no later change would remove it again.
         """
         newer = (row for row in rows if row.version > self._version)
-        news = tuple(row for row in newer if self._is_news(row))
-        if not news:
+        applied = tuple(row for row in newer if self._apply_if_newer(row))
+        if not applied:
             return
         log(
             Part.STORE,
             "Rows came from another node.",
             table=self._table,
             node=node,
-            rows=len(news),
-            newest=max(row.version for row in news),
+            rows=len(applied),
+            newest=max(row.version for row in applied),
             complete_to=self._version,
         )
-        self._on_rows(news, f"node {node}")
+        self._on_rows(applied, f"node {node}")
 
     async def _step(self) -> bool:
-        """Make one call; return whether it brought changes, and not the whole."""
-        if self._whole:
+        """Make one call; return True for a feed and False for a full read."""
+        if self._is_complete:
             changes = await self._reader.feed(self._table, self._version, self._wait_s)
-            self._note_reached()
-            self._take(changes)
+            self._on_reached()
+            self._apply(changes)
             return True
         changes = await self._reader.read_table(self._table)
-        self._note_reached()
+        self._on_reached()
         if changes.version < self._version:
-            raise StoreUnavailable(self._table, "an old state was read")
-        self._take_whole(changes)
+            raise StoreUnavailable(
+                self._table, "its answer is older than the state of this node"
+            )
+        self._apply_snapshot(changes)
         return False
 
-    def _take_whole(self, changes: TableChanges) -> None:
-        self._whole = True
+    def _apply_snapshot(self, changes: TableChanges) -> None:
+        self._is_complete = True
         self._complete_from = changes.version
         keys = {row.key for row in changes.rows}
-        # What other nodes have told of may be newer than what was read.
+        # Rows from other nodes may be newer than the full read.
         keys |= {
             row.key
             for row in self._row_by_key.values()
@@ -234,61 +246,66 @@
         }
         for key in self._row_by_key.keys() - keys:
             del self._row_by_key[key]
-            self._before_by_key.pop(key, None)
-        self._take(changes)
-        self._on_whole(keys)
+            self._previous_by_key.pop(key, None)
+        self._apply(changes)
+        self._on_snapshot(keys)
 
-    def _take(self, changes: TableChanges) -> None:
-        news = tuple(row for row in changes.rows if self._is_news(row))
+    def _apply(self, changes: TableChanges) -> None:
+        applied = tuple(row for row in changes.rows if self._apply_if_newer(row))
         self._version = max(self._version, changes.version)
-        if news:
-            self._on_rows(news, "store")
-            self._note_change()
+        if applied:
+            self._on_rows(applied, "store")
+            self._wake_waiters()
 
-    def _note_change(self) -> None:
+    def _wake_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _is_news(self, row: StoredRow) -> bool:
-        known = self._row_by_key.get(row.key)
-        if known is not None and row.version <= known.version:
+    def _apply_if_newer(self, row: StoredRow) -> bool:
+        current = self._row_by_key.get(row.key)
+        if current is not None and row.version <= current.version:
             return False
-        if known is not None and known.is_large:
-            self._before_by_key[row.key] = known
+        if current is not None and current.is_large:
+            self._previous_by_key[row.key] = current
         else:
-            self._before_by_key.pop(row.key, None)
+            self._previous_by_key.pop(row.key, None)
         self._row_by_key[row.key] = row
         if row.value is None:
-            self._note_gone(row.key)
+            self._record_removal(row.key)
         return True
 
-    def _note_gone(self, key: str) -> None:
-        """Remember that a row is gone, in place of the one that went first."""
-        self._gone_keys.append(key)
-        if len(self._gone_keys) <= MAX_GONE:
+    def _record_removal(self, key: str) -> None:
+        """Remember a removal, and forget the oldest one beyond the limit."""
+        self._removed_keys.append(key)
+        if len(self._removed_keys) <= MAX_REMOVED_ROWS:
             return
-        first = self._row_by_key.get(self._gone_keys.popleft())
+        first = self._row_by_key.get(self._removed_keys.popleft())
         if first is not None and first.value is None:
             del self._row_by_key[first.key]
             self._complete_from = max(self._complete_from, first.version)
 
-    def _note_reached(self) -> None:
+    def _on_reached(self) -> None:
         self.confirmed_at = asyncio.get_running_loop().time()
         if not self.reachable:
             self.reachable = True
             lost_s = self.confirmed_at - self.lost_at
-            log(Part.STORE, "Reached again.", table=self._table, lost_s=lost_s)
-            self._on_return()
-
-    def _note_lost(self, error: StoreUnavailable, again_s: float) -> None:
+            log(
+                Part.STORE,
+                "The table can be read again.",
+                table=self._table,
+                lost_s=lost_s,
+            )
+            self._on_store_recovered()
+
+    def _on_lost(self, error: StoreUnavailable, again_s: float) -> None:
         first = self.reachable
         if first:
             self.reachable = False
             self.lost_at = asyncio.get_running_loop().time()
-            self._note_change()
+            self._wake_waiters()
         log(
             Part.STORE,
-            "Lost." if first else "Still lost.",
+            "The table cannot be read." if first else "The table still cannot be read.",
             table=self._table,
             error=str(error),
             lost_s=asyncio.get_running_loop().time() - self.lost_at,
--- a/tests/support/store_simulation.py
+++ b/tests/support/store_simulation.py
@@ -1,4 +1,4 @@
-"""Nodes of one data centre before a store that turns some or all of them away."""
+"""Simulates the nodes of one data centre and a store with outages."""
 
 import asyncio
 import itertools
@@ -34,15 +34,14 @@
 OPERATOR = "op"
 SERVERS = "servers"
 ANSWER_S = 0.004
-# Between two nodes of a data centre.
+# The network latency between two nodes of a data centre.
 HOP_S = 0.001
 
 
 class Outage(msgspec.Struct, frozen=True):
-    """From ``begin`` to ``end`` the store gives ``nodes`` no answer (None: nobody).
+    """The store does not answer ``nodes`` (None: all) from ``begin`` to ``end``.
 
-    Calls that it overlaps hang until their caller gives them up, or are refused at
-    once.
+    Calls that overlap it hang until the caller times out, or are refused at once.
     """
 
     begin: float
@@ -50,14 +49,14 @@
     nodes: frozenset[str] | None = None
     refuses: bool = False
 
-    def hits(self, node: str, begin: float, end: float) -> bool:
-        """Return whether it overlaps a call of ``node``."""
-        meant = self.nodes is None or node in self.nodes
-        return meant and begin < self.end and end >= self.begin
+    def affects(self, node: str, begin: float, end: float) -> bool:
+        """Return whether the outage overlaps a call of ``node``."""
+        affected = self.nodes is None or node in self.nodes
+        return affected and begin < self.end and end >= self.begin
 
 
 class Store:
-    """The rows of the store, and the calls that nodes make."""
+    """Simulates the store: its rows, and its answers to the nodes' calls."""
 
     def __init__(self, outages: Iterable[Outage]) -> None:
         self.outages = tuple(outages)
@@ -74,7 +73,7 @@
         self._wake()
 
     def drop_history(self) -> None:
-        """Forget all changes so far."""
+        """Drop the history of all changes so far."""
         self._version += 1
         self._oldest = self._version
         self._wake()
@@ -84,7 +83,7 @@
         self._changed = asyncio.Event()
 
     async def read(self, node: str, table: str) -> TableChanges:
-        """Answer a whole read."""
+        """Answer a full read."""
         await self._answer(node, table, _now(), FULL_READ_RESPONSE_TIMEOUT_S)
         return self._rows(table, -1)
 
@@ -111,10 +110,10 @@
     ) -> None:
         self.calls += 1
         for outage in self.outages:
-            if outage.hits(node, begun, _now()):
+            if outage.affects(node, begun, _now()):
                 if not outage.refuses:
                     await asyncio.sleep(begun + within_s - _now())
-                raise StoreUnavailable(table, "out of order")
+                raise StoreUnavailable(table, "simulated outage")
         await asyncio.sleep(ANSWER_S)
 
     def _rows(self, table: str, after: int) -> TableChanges:
@@ -128,7 +127,7 @@
 
 
 class Reader:
-    """The store as one node sees it."""
+    """The store's interface for one node."""
 
     def __init__(self, store: Store, node: str) -> None:
         self._store = store
@@ -143,29 +142,29 @@
         return await self._store.feed(self._node, table, after, wait_s)
 
     def arriving_since(self, table: str) -> None:
-        """Return that no answer takes long to come: none is large here."""
+        """Return None: no answer here is large enough to take long."""
 
 
 class StoreSimulation:
-    """Runs the nodes of a data centre, and notes when each had which change.
+    """Runs the nodes of a data centre, and records when each change was applied.
 
-    Nothing but their relay and the store brings them changes: what other data
-    centres tell would hide a node that does not ask. The nodes know of each other from
-    ``agreed_at`` on.
+    Nodes get changes only from their relay and the store. Gossip from other data
+    centres is left out, because it would hide a node that does not ask for changes.
+    The nodes know each other from ``members_known_at`` on.
     """
 
     def __init__(
         self,
         outages: Iterable[Outage] = (),
         nodes: int = 3,
-        promised_s: float = PROPAGATION_DEADLINE_S,
-        agreed_at: float = 0.0,
+        deadline_s: float = PROPAGATION_DEADLINE_S,
+        members_known_at: float = 0.0,
     ) -> None:
         self.store = Store(outages)
-        self._agreed_at = agreed_at
+        self._members_known_at = members_known_at
         self.members = [member(f"n{number}") for number in range(nodes)]
-        self._promised_s = promised_s
-        self.taken_at: dict[tuple[str, int], float] = {}
+        self._deadline_s = deadline_s
+        self.applied_at: dict[tuple[str, int], float] = {}
         self.removed_at: dict[tuple[str, str], float] = {}
         self._tables_by_node = {m.id: self._tables(m) for m in self.members}
         self._numbers = itertools.count(1)
@@ -177,7 +176,7 @@
         return (relay_of(own, others, table) or own).id
 
     def change(self) -> int:
-        """Let the operator write the next configuration; returns its number."""
+        """Write the next configuration as the operator; return its number."""
         number = next(self._numbers)
         self.store.put(OPERATOR, "config", str(number).encode())
         return number
@@ -187,7 +186,7 @@
         self.store.put(SERVERS, name, b"{}")
 
     def remove_server(self, name: str) -> None:
-        """Take a server off the list."""
+        """Remove a server from the list."""
         self.store.put(SERVERS, name, None)
 
     async def run(self, until: float) -> None:
@@ -203,7 +202,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def calls_between(self, begin: float, end: float, until: float) -> int:
-        """Run a new day until a time; return the calls between two times of it."""
+        """Run the simulation until a time; return the calls between two times."""
         running = asyncio.create_task(self.run(until))
         await asyncio.sleep(begin)
         before = self.store.calls
@@ -216,7 +215,7 @@
         deployments = DeploymentInForce(
             "config",
             lambda raw: Deployment(int(raw), {}, {}, {}, False, CallerLimits(1, 1.0)),
-            lambda number: self._note_taken(own.id, number),
+            lambda number: self._record_applied(own.id, number),
         )
         return PlatformTables(
             TableNames(OPERATOR, SERVERS, "crashes"),
@@ -226,26 +225,26 @@
             lambda: self._others(own),
             deployments=deployments,
             server_list=RecordingServerList(
-                lambda server, version: self._note_server(own.id, server, version)
+                lambda server, version: self._record_server(own.id, server, version)
             ),
             crashes=idle_crash_table(),
             evacuations=idle_evacuations(),
-            apply_s=self._promised_s,
-            drain_s=self._promised_s,
-            evacuate_s=self._promised_s,
+            apply_s=self._deadline_s,
+            drain_s=self._deadline_s,
+            evacuate_s=self._deadline_s,
             clock=_now,
         )
 
     def _others(self, own: Member) -> list[Member]:
-        if _now() < self._agreed_at:
+        if _now() < self._members_known_at:
             return []
         return [other for other in self.members if other.id != own.id]
 
-    def _note_taken(self, node: str, number: int) -> None:
+    def _record_applied(self, node: str, number: int) -> None:
         for earlier in range(1, number + 1):
-            self.taken_at.setdefault((node, earlier), _now())
+            self.applied_at.setdefault((node, earlier), _now())
 
-    def _note_server(self, node: str, server: str, version: int | None) -> None:
+    def _record_server(self, node: str, server: str, version: int | None) -> None:
         if version is None:
             self.removed_at.setdefault((node, server), _now())
 
