--- a/packages/node/src/eelgrass_node/process/backends.py
+++ b/packages/node/src/eelgrass_node/process/backends.py
@@ -1,4 +1,4 @@
-"""The backend servers known to this process, and what is known of each."""
+"""The backend servers that this node knows, and the state it keeps for each."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,26 +21,30 @@
     "ServerIncarnation",
 ]
 
-# How long a call takes changes within seconds, as a server turns slow or well.
+# The duration of calls changes within seconds when a server slows down or recovers.
 CALL_HALF_LIFE_S = 5.0
-# A server that is full is left alone for a part of a call, by when a place is free.
-FULL_PAUSE_FRACTION = 0.25
-MIN_FULL_PAUSE_S = 0.005
-MAX_FULL_PAUSE_S = 0.1
-# A server that says that it is full gets a tenth fewer calls at a time.
+# After a refusal as full, the node backs off for this fraction of a mean call; by then
+# the server is likely to have a free slot.
+FULL_BACKOFF_FRACTION = 0.25
+MIN_FULL_BACKOFF_S = 0.005
+MAX_FULL_BACKOFF_S = 0.1
+# Each refusal as full reduces the concurrency window by a tenth.
 WINDOW_DECREASE = 0.9
-# A server that fails is passed over for about a restart at first, and for longer each
-# time, but not for so long that callers miss it once it is well.
+# A failing server is suspected for about the time of a restart at first, and for twice
+# as long after each further failure. The maximum keeps a server that has recovered from
+# staying unused for long.
 FIRST_SUSPICION_S = 1.0
 MAX_SUSPICION_S = 16.0
-# A server without failures for this long begins with the first suspicion again;
-# one that fails part of its calls succeeds in between.
-FORGIVEN_S = 10.0
-# A server that says to be cold for longer than this is mistaken: it would be shut out.
+# After this long without a failure, suspicion starts from its first duration again.
+# Single successes do not reset it: a server that fails part of its calls succeeds in
+# between.
+FAILURE_RESET_S = 10.0
+# A longer reported warm-up time is taken for an error: it would keep a warm server out
+# of normal use.
 MAX_WARM_UP_S = 60.0
-# How long a load that a server told is worth more than our own counts: the
-# usual request takes about half of this.
-TOLD_LOAD_S = 1.5
+# A load that the server reported takes precedence over this node's own counts for this
+# long. A typical request takes about half of it.
+REPORTED_LOAD_MAX_AGE_S = 1.5
 
 
 class BackendState(Enum):
@@ -51,12 +55,11 @@
 
 
 class ServerIncarnation(msgspec.Struct, frozen=True, array_like=True):
-    """One life of a backend server, from its start to its end.
+    """One run of a backend server, from its start to its termination.
 
-    A server may start again under its id. It then holds nothing of before, so
-    whatever is known of a server (results, load, suspicion, connections) is
-    known of one life. ``started`` grows with each start; it is 0 where the
-    server does not tell.
+    A server may restart under the same id. It then has none of its earlier state,
+    so results, load, suspicion and connections are tracked per incarnation.
+    ``started`` grows with each start; it is 0 if the server does not report it.
     """
 
     id: BackendId
@@ -66,9 +69,10 @@
 class HostEntry(msgspec.Struct, frozen=True):
     """A backend server in the platform's host list.
 
-    ``started`` tells apart the lives of a server, the newer by the greater
-    number; ``limit`` is how many calls it takes at a time. ``warm_up_s`` is how much
-    longer it said to be cold, and ``region`` is that of its data centre.
+    ``started`` tells the incarnations of a server apart; the greater number is the
+    newer one. ``limit`` is the number of concurrent calls that it accepts.
+    ``warm_up_s`` is the remaining warm-up time that it reported, and ``region`` is the
+    region of its data centre.
     """
 
     id: BackendId
@@ -84,23 +88,25 @@
 
     @property
     def incarnation(self) -> ServerIncarnation:
-        """The life of the server that the entry tells of."""
+        """The incarnation of the server that the entry describes."""
         return ServerIncarnation(self.id, self.started)
 
 
 class Backend:
-    """One backend server: its entry, our calls to it, and when it last failed.
+    """One backend server: its entry, this node's calls to it, and its failures.
 
-    ``window`` is how many calls we may have there at a time. It starts from our
-    share of the server's limit, shrinks when the server says that it is full and
-    grows with each call that it takes: the other nodes' use shows only so.
+    ``window`` is the number of concurrent calls that this node may have there. It
+    starts from the node's share of the server's limit, shrinks when the server refuses
+    a call as full, and grows with each call that the server accepts. Refusals are the
+    only sign of the other nodes' use.
     """
 
     def __init__(self, entry: HostEntry) -> None:
         self.entry = entry
         self.connections = BackendConnections(entry.address)
         self.in_flight = 0
-        # When it came to the list; those of the first list were there before.
+        # When the server was first listed. Servers in the first list that the node
+        # reads were there before it.
         self.first_listed_at = float("-inf")
         self.window = 1.0
         self.suspect_until = 0.0
@@ -109,47 +115,48 @@
         self._failures = 0
         self.call_s = MovingAverage(0.0)
         self._called_at = 0.0
-        self._told_cold_until = self._taken_for_cold_until = float("-inf")
-        self._told_load: tuple[int, int] = (0, 0)
-        self._told_at = float("-inf")
-        self._in_flight_then = 0
+        self._reported_cold_until = self._assumed_cold_until = float("-inf")
+        self._reported_load: tuple[int, int] = (0, 0)
+        self._reported_at = float("-inf")
+        self._in_flight_at_report = 0
 
     def apply_entry(self, entry: HostEntry) -> None:
-        """Take in what the server says of itself now."""
+        """Apply a new version of the server's entry."""
         self.entry = entry
         if entry.warm_up_s > MAX_WARM_UP_S:
             log(
                 Part.HOSTS,
-                "A server is taken for warm sooner than it says.",
+                "A server reports too long a warm-up time; the maximum is used.",
                 backend=entry.id,
                 warm_up_s=entry.warm_up_s,
             )
-        self._told_cold_until = float("-inf")
+        self._reported_cold_until = float("-inf")
         if entry.warm_up_s > 0:
             now = asyncio.get_running_loop().time()
-            self._told_cold_until = now + min(entry.warm_up_s, MAX_WARM_UP_S)
+            self._reported_cold_until = now + min(entry.warm_up_s, MAX_WARM_UP_S)
 
     def mark_cold(self, for_s: float) -> None:
-        """Take the server for cold for so long, whatever it says of itself."""
-        self._taken_for_cold_until = asyncio.get_running_loop().time() + for_s
+        """Treat the server as cold for ``for_s`` seconds, whatever its entry says."""
+        self._assumed_cold_until = asyncio.get_running_loop().time() + for_s
 
     def is_cold(self, now: float) -> bool:
-        """Return whether it bears only few new requests a second."""
-        return now < max(self._told_cold_until, self._taken_for_cold_until)
+        """Return whether the server can take only few new requests per second."""
+        return now < max(self._reported_cold_until, self._assumed_cold_until)
 
     def is_in(self, regions: frozenset[str] | None) -> bool:
-        """Return whether it is in one of some regions; None stands for all."""
+        """Return whether the server is in one of ``regions``; None stands for all."""
         return regions is None or self.entry.region in regions
 
     def suspect(self) -> None:
         """Prefer other servers for a while, twice as long after each failure.
 
-        Calls that fail together, as those of a server that ends, are one failure.
+        Calls that fail at the same time, as when the server crashes, count as one
+        failure.
         """
         now = asyncio.get_running_loop().time()
         if now < self.suspect_until:
             return
-        if now - self._suspected_at > FORGIVEN_S:
+        if now - self._suspected_at > FAILURE_RESET_S:
             self._failures = 0
         suspicion_s = min(MAX_SUSPICION_S, FIRST_SUSPICION_S * 2**self._failures)
         self._failures += 1
@@ -157,57 +164,56 @@
         self.suspect_until = now + suspicion_s
 
     def record_call(self, took_s: float) -> None:
-        """Take in how long a call took, in seconds."""
+        """Record the duration of a call, in seconds."""
         self.call_s.record(took_s)
         self._called_at = asyncio.get_running_loop().time()
 
     def expected_call_s(self) -> float:
-        """Return how long a call is expected to take, in seconds.
+        """Return the expected duration of a call, in seconds.
 
-        The expectation fades while no call is made, and is nothing for a new
-        server: one that was slow once, or never tried, would not be tried again.
+        The estimate decays while no call is made, and is 0 for a new server.
+        Otherwise a server that was slow once, or never tried, would not be chosen.
         """
         age_s = asyncio.get_running_loop().time() - self._called_at
         return self.call_s.mean * 0.5 ** (age_s / CALL_HALF_LIFE_S)
 
     def record_load(self, running: int, waiting: int) -> None:
-        """Take in what the server says of its load, over all nodes."""
-        self._told_load = (running, waiting)
-        self._told_at = asyncio.get_running_loop().time()
-        self._in_flight_then = self.in_flight
+        """Record the load that the server reported, which includes all nodes' calls."""
+        self._reported_load = (running, waiting)
+        self._reported_at = asyncio.get_running_loop().time()
+        self._in_flight_at_report = self.in_flight
 
     def load_at(self, now: float) -> tuple[int, int]:
-        """Return the running and waiting requests to be expected there.
+        """Return the expected numbers of running and waiting requests at the server.
 
-        What the server told fades to what we ourselves have there; calls that
-        began since are added.
+        They are the reported load and the calls that this node has started since. Once
+        the report is too old, only this node's own calls count.
         """
-        if now - self._told_at > TOLD_LOAD_S:
+        if now - self._reported_at > REPORTED_LOAD_MAX_AGE_S:
             return self.in_flight, 0
-        running, waiting = self._told_load
-        since = max(0, self.in_flight - self._in_flight_then)
+        running, waiting = self._reported_load
+        since = max(0, self.in_flight - self._in_flight_at_report)
         return max(self.in_flight, running + since), waiting
 
     def has_room(self) -> bool:
-        """Return whether our window has room for one more call."""
+        """Return whether this node's window allows one more call."""
         if self.in_flight >= int(self.window):
             return False
         return asyncio.get_running_loop().time() >= self._full_until
 
     def back_off(self) -> float:
-        """Shrink the window after a refusal; return the pause in seconds."""
-        taken = max(1, self.in_flight - 1)
-        self.window = max(1.0, min(self.window * WINDOW_DECREASE, taken))
-        pause_s = self.call_s.mean * FULL_PAUSE_FRACTION
-        pause_s = min(MAX_FULL_PAUSE_S, max(MIN_FULL_PAUSE_S, pause_s))
-        self._full_until = asyncio.get_running_loop().time() + pause_s
-        return pause_s
+        """Shrink the window after a refusal; return the backoff in seconds."""
+        accepted = max(1, self.in_flight - 1)
+        self.window = max(1.0, min(self.window * WINDOW_DECREASE, accepted))
+        backoff_s = self.call_s.mean * FULL_BACKOFF_FRACTION
+        backoff_s = min(MAX_FULL_BACKOFF_S, max(MIN_FULL_BACKOFF_S, backoff_s))
+        self._full_until = asyncio.get_running_loop().time() + backoff_s
+        return backoff_s
 
     def record_success(self, took_s: float = 0.0) -> None:
-        """End a suspicion, and let the window grow by one for each full window.
+        """End a suspicion, and grow the window by one for each full window of calls.
 
-        A call that began before the suspicion, ``took_s`` seconds ago, says
-        nothing against it.
+        A call that began before the suspicion, ``took_s`` seconds ago, does not end it.
         """
         now = asyncio.get_running_loop().time()
         if now - took_s >= self._suspected_at:
@@ -218,8 +224,8 @@
 class Backends:
     """All backend servers by id and by service.
 
-    Knowledge that one is leaving is kept for as long as that server (the pair
-    of id and start number) may still be listed as live by a lagging list.
+    That a server (the pair of id and start number) is leaving is remembered for as
+    long as an outdated list may still name it as live.
     """
 
     def __init__(self, on_change: Callable[[str], None] = lambda service: None):
@@ -228,30 +234,30 @@
         self.by_service: dict[str, list[Backend]] = {}
         self._by_address: dict[str, Backend] = {}
         self.leaving: dict[BackendId, int] = {}
-        # Whether a data centre is being emptied.
+        # Whether a data centre is evacuated.
         self.is_evacuated: Callable[[DataCentre], bool] = lambda data_centre: False
         self._live_nodes = 1
 
     def update(self, entries: list[HostEntry]) -> list[HostEntry]:
-        """Take in a host list; returns the entries newly seen as leaving."""
+        """Apply a host list; return the entries that are newly seen as leaving."""
         listed = {entry.id: entry for entry in entries}
-        news = [
+        newly_leaving = [
             entry
             for entry in entries
-            if entry.state is BackendState.LEAVING and self._note_leaving(entry)
+            if entry.state is BackendState.LEAVING and self._mark_entry_leaving(entry)
         ]
         for backend_id in self.by_id.keys() - listed.keys():
             self._remove(backend_id)
         is_first = not self.by_id
         for entry in entries:
-            self._put(entry, is_first)
+            self._add_or_replace(entry, is_first)
         for backend_id in self.leaving.keys() - listed.keys():
             del self.leaving[backend_id]
         self._rebuild()
-        return news
+        return newly_leaving
 
     def mark_leaving(self, backend_id: BackendId, started: int) -> bool:
-        """Note that a server is leaving; returns whether that was news."""
+        """Record that a server is leaving; return whether this was not known before."""
         known = self.leaving.get(backend_id)
         if known is not None and known >= started:
             return False
@@ -262,7 +268,7 @@
         return True
 
     def is_leaving(self, backend: Backend) -> bool:
-        """Return whether a server gets no new work."""
+        """Return whether a server is leaving and gets no new work."""
         entry = backend.entry
         if entry.state is BackendState.LEAVING:
             return True
@@ -271,7 +277,7 @@
     def usable(self, service: str) -> list[Backend]:
         """Return the servers of a service that may get new work."""
         servers = self.by_service.get(service, ())
-        return [backend for backend in servers if self._may_work(backend)]
+        return [backend for backend in servers if self._accepts_work(backend)]
 
     def in_data_centre(self, data_centre: DataCentre) -> list[Backend]:
         """Return all servers of a data centre."""
@@ -279,12 +285,12 @@
         return [s for s in servers if s.entry.data_centre == data_centre]
 
     def notify_all(self) -> None:
-        """Have everything look again at where servers may get work."""
+        """Call ``on_change`` for every service."""
         for service in self.by_service:
             self.on_change(service)
 
     def has_ended(self, incarnation: ServerIncarnation) -> bool:
-        """Return whether a server is known to have started again since a life."""
+        """Return whether a server is known to have restarted since an incarnation."""
         backend = self.by_id.get(incarnation.id)
         return backend is not None and backend.entry.started > incarnation.started
 
@@ -293,7 +299,7 @@
         return self._by_address.get(address)
 
     def set_live_nodes(self, count: int) -> None:
-        """Share the servers' limits among that many nodes."""
+        """Divide the servers' limits among ``count`` nodes."""
         if count == self._live_nodes:
             return
         self._live_nodes = count
@@ -307,24 +313,24 @@
         for backend in self.by_id.values():
             await backend.connections.close()
 
-    def _may_work(self, backend: Backend) -> bool:
+    def _accepts_work(self, backend: Backend) -> bool:
         if self.is_leaving(backend):
             return False
         return not self.is_evacuated(backend.entry.data_centre)
 
-    def _note_leaving(self, entry: HostEntry) -> bool:
+    def _mark_entry_leaving(self, entry: HostEntry) -> bool:
         return self.mark_leaving(entry.id, entry.started)
 
-    def _put(self, entry: HostEntry, is_first: bool) -> None:
+    def _add_or_replace(self, entry: HostEntry, is_first: bool) -> None:
         backend = self.by_id.get(entry.id)
         if backend is not None and self.has_ended(entry.incarnation):
-            # Old news: the server has started again since.
+            # The entry is outdated: the server has restarted since.
             return
         if backend is not None and _is_successor(entry, backend.entry):
             ended = backend.entry.started < entry.started
             self._remove(entry.id)
             if ended:
-                # What still waits for the earlier life would wait in vain.
+                # Calls that wait for the earlier incarnation would get no answer.
                 backend.connections.abort()
             backend = None
         is_new = backend is None
@@ -352,5 +358,5 @@
 
 
 def _is_successor(entry: HostEntry, known: HostEntry) -> bool:
-    """Return whether an entry stands for another server under a known id."""
+    """Return whether an entry is for another server or incarnation of a known id."""
     return (entry.address, entry.started) != (known.address, known.started)
--- a/packages/node/src/eelgrass_node/process/dispatch.py
+++ b/packages/node/src/eelgrass_node/process/dispatch.py
@@ -1,7 +1,7 @@
-"""The queues before the services: who waits, who goes where, who is refused.
+"""The request queues of the services: order, choice of server, and refusals.
 
-One queue per service. A waiter gets a backend server as soon as our share of
-one has room; it is refused at once where its deadline can no longer be met.
+Each service has one queue. A waiter gets a backend server as soon as this node's share
+of one has a free slot; it is refused at once if its deadline can no longer be met.
 """
 
 import asyncio
@@ -63,30 +63,30 @@
 
     @property
     def waiting(self) -> int:
-        """How many wait."""
+        """The number of waiters."""
         return len(self._waiters)
 
     def slots(self) -> int:
-        """Return how many calls we may have at this service at a time."""
+        """Return how many concurrent calls this node may have at this service."""
         usable = self._backends.usable(self.service)
         return sum(int(backend.window) for backend in usable)
 
     def expected_wait(self, ahead: int | None = None) -> float:
-        """Return the seconds until a place comes free behind ``ahead`` waiters."""
+        """Return the expected seconds until a slot is free behind ``ahead`` waiters."""
         ahead = self.waiting if ahead is None else ahead
         slots = self.slots()
         if not slots or self._has_room():
             return 0.0
         return (ahead + 1) * self.service_time_s.mean / slots
 
-    def wait_of(self, priority: int, deadline: float) -> float:
-        """Return the expected wait of a newcomer, in seconds."""
+    def expected_wait_for(self, priority: int, deadline: float) -> float:
+        """Return the expected wait of a new waiter, in seconds."""
         key = self._order(priority, deadline, self._arrivals)
         ahead = bisect.bisect(self._waiters, key, key=lambda waiter: waiter.key)
         return self.expected_wait(ahead)
 
     def expected_run(self, stage: Stage) -> float:
-        """Return the seconds that a stage takes once it has a server."""
+        """Return the expected duration of a stage on its server, in seconds."""
         if stage.kind is StageKind.GENERATE:
             return self.first_token_s.mean + self.token_interval_s.mean * int(
                 stage.max_tokens
@@ -101,7 +101,7 @@
     ) -> Backend:
         """Wait for a server until ``latest``, a time of the event loop.
 
-        Raises :class:`TimeoutError` then, and :class:`Refused` where there is no
+        Raises :class:`TimeoutError` at that time, and :class:`Refused` if there is no
         server or the queue is full. The caller must :meth:`release` the server.
         """
         if not self._backends.usable(self.service):
@@ -134,21 +134,21 @@
             raise
 
     def release(self, backend: Backend) -> None:
-        """Give a server back."""
+        """Release a server and grant its slot to the next waiter."""
         backend.in_flight -= 1
         self.grant()
 
     def refused_as_full(self, backend: Backend) -> None:
-        """Note that a server was full; those that wait are served after a pause."""
-        pause_s = backend.back_off()
-        asyncio.get_running_loop().call_later(pause_s, self.grant)
+        """Back off from a server that refused a call as full, then serve waiters."""
+        backoff_s = backend.back_off()
+        asyncio.get_running_loop().call_later(backoff_s, self.grant)
 
     def grant(self) -> None:
-        """Give servers with room to the first waiters."""
+        """Grant servers with free slots to the first waiters."""
         while self._waiters:
             waiter = self._waiters[0]
             if waiter.granted.done():
-                # Timed out in this very moment; its task has yet to say so.
+                # The waiter has just timed out, and its task has not run since.
                 del self._waiters[0]
                 continue
             backend = self._pick(waiter.tried)
@@ -159,10 +159,10 @@
             waiter.granted.set_result(backend)
 
     def shed(self) -> None:
-        """Refuse those at the end of the queue who can no longer be served in time.
+        """Refuse waiters at the end of the queue that cannot be served in time.
 
-        Later arrivals of a higher priority push them back; they are better told
-        at once than at their deadline.
+        Later arrivals of a higher priority push them back. An immediate refusal is
+        better for the caller than one at the deadline.
         """
         now = asyncio.get_running_loop().time()
         while self._waiters:
@@ -175,7 +175,7 @@
                 waiter.granted.set_exception(TimeoutError())
 
     def retry_after(self) -> float:
-        """Return after how many seconds a refused caller should come back."""
+        """Return after how many seconds a refused caller should retry."""
         return max(MIN_RETRY_AFTER_S, self.expected_wait())
 
     def _has_room(self) -> bool:
@@ -185,25 +185,25 @@
         return any(backend.has_room() for backend in usable)
 
     def _pick(self, tried: frozenset[BackendId]) -> Backend | None:
-        roomy = [b for b in self._candidates(tried) if b.has_room()]
-        return self._choose(roomy) if roomy else None
+        with_room = [b for b in self._candidates(tried) if b.has_room()]
+        return self._choose(with_room) if with_room else None
 
     def _candidates(self, tried: frozenset[BackendId]) -> list[Backend]:
-        """Return the best servers there are, whether or not they have room.
+        """Return the preferred servers, whether or not they have free slots.
 
-        A server that has just failed always has room. To wait for a sound one
-        is better than to fail there again.
+        A server that has just failed always has free slots. Waiting for a healthy one
+        is better than failing there again.
         """
         usable = self._backends.usable(self.service)
         now = asyncio.get_running_loop().time()
-        trusted = [b for b in usable if b.suspect_until <= now]
-        untried = [b for b in trusted if b.entry.id not in tried]
-        return untried or trusted or usable
+        healthy = [b for b in usable if b.suspect_until <= now]
+        untried = [b for b in healthy if b.entry.id not in tried]
+        return untried or healthy or usable
 
     def _withdraw(self, waiter: _Waiter) -> None:
         granted = waiter.granted
         if granted.done() and not granted.cancelled() and not granted.exception():
-            # Granted in the very moment in which the wait was given up.
+            # The server was granted at the moment at which the wait ended.
             self.release(granted.result())
             return
         granted.cancel()
@@ -242,12 +242,12 @@
         return found
 
     def servers_changed(self, service: str) -> None:
-        """Serve waiters that a change of servers has made room for."""
+        """Serve waiters after the servers of a service have changed."""
         if service in self.by_service:
             self.by_service[service].grant()
 
     def expected_rest(self, stages: tuple[Stage, ...]) -> float:
-        """Return the seconds that stages take without waiting."""
+        """Return the expected duration of stages without queueing, in seconds."""
         return sum(self.queue(stage.service).expected_run(stage) for stage in stages)
 
     def check_feasible(
@@ -258,7 +258,9 @@
             return
         priority = request.pipeline.priority
         waits = {
-            stage.service: self.queue(stage.service).wait_of(priority, request.deadline)
+            stage.service: self.queue(stage.service).expected_wait_for(
+                priority, request.deadline
+            )
             for stage in stages
         }
         expected = sum(waits.values()) + self.expected_rest(stages)
@@ -267,6 +269,6 @@
             raise Refused(
                 RefusalReason.DEADLINE_INFEASIBLE,
                 outcome,
-                "The stages left are expected to take longer than is left.",
+                "The remaining stages are expected to end after the deadline.",
                 max(queue.retry_after() for queue in queues),
             )
--- a/packages/node/src/eelgrass_node/process/failure_gossip.py
+++ b/packages/node/src/eelgrass_node/process/failure_gossip.py
@@ -1,9 +1,9 @@
-"""Tells other nodes of servers that fail, and hears of them.
+"""Announces failing servers to other nodes, and applies their announcements.
 
-The pattern it answers: an engine resets nearly half of its connections, or ends.
-Each of eight nodes (or eighty) found that out for itself, with requests that may
-have run and could not be repeated. A failure is told over the membership as a
-mark, and the other nodes prefer other servers for as long as this one does.
+When an engine resets nearly half of its connections, or crashes, each of eight nodes
+(or eighty) would have to find that out for itself, with requests that may have run and
+cannot be retried. A failure is therefore spread as a gossip item, and the other nodes
+prefer other servers for as long as this one does.
 """
 
 from collections.abc import Callable
@@ -20,9 +20,9 @@
 
 
 class FailureGossip:
-    """Failures of servers as the nodes tell them.
+    """The failures of servers that nodes announce to each other.
 
-    ``announce`` tells of a mark, and ``clock`` returns the time of day in
+    ``announce`` spreads a gossip item, and ``clock`` returns Unix time in
     milliseconds, by which later failures supersede earlier ones.
     """
 
@@ -37,16 +37,16 @@
         self._clock = clock
 
     def announce_failure(self, backend: Backend) -> None:
-        """Tell other nodes that a server has failed a request."""
+        """Announce that a server has failed a request."""
         self._announce(GossipItem(GOSSIP_KIND, backend.entry.id, self._clock()))
 
-    def receive(self, mark: GossipItem) -> None:
-        """Take in what another node tells."""
-        backend = self._backends.by_id.get(BackendId(mark.name))
-        if mark.kind != GOSSIP_KIND or backend is None:
+    def receive(self, item: GossipItem) -> None:
+        """Apply a gossip item from another node; other kinds are ignored."""
+        backend = self._backends.by_id.get(BackendId(item.name))
+        if item.kind != GOSSIP_KIND or backend is None:
             return
-        if mark.number < backend.entry.started:
-            # It failed in an earlier life.
+        if item.number < backend.entry.started:
+            # An earlier incarnation of the server failed.
             return
-        log(Part.HOSTS, "Another node says that a server fails.", backend=mark.name)
+        log(Part.HOSTS, "Another node reported a failing server.", backend=item.name)
         backend.suspect()
--- a/packages/node/src/eelgrass_node/process/policy.py
+++ b/packages/node/src/eelgrass_node/process/policy.py
@@ -1,6 +1,6 @@
-"""Policies under load, as plain functions that the settings choose by name.
+"""Load policies, as plain functions that the settings select by name.
 
-Each has a plain baseline beside it, so that one run can measure both.
+Each has a simple baseline, so that one run can measure both.
 """
 
 import random
@@ -24,37 +24,37 @@
 
 
 class Choice(Enum):
-    """How a backend server is chosen among those with room."""
+    """How a backend server is chosen among those with free capacity."""
 
     LEAST_OF_TWO = "least_of_two"
     ROUND_ROBIN = "round_robin"
 
 
 class Order(Enum):
-    """In which order waiting stages are served."""
+    """The order in which waiting stages are served."""
 
     PRIORITY_DEADLINE = "priority_deadline"
     FIRST_COME = "first_come"
 
 
 class Admission(Enum):
-    """Whether a request is refused whose deadline cannot be met."""
+    """Whether requests are refused if their deadline cannot be met."""
 
     FEASIBLE = "feasible"
     ALL = "all"
 
 
 def choice_function(choice: Choice, seed: int | None = None) -> ChoiceFunction:
-    """Return the function that chooses one of several servers with room."""
+    """Return the function that chooses one of several servers with capacity."""
     if choice is Choice.ROUND_ROBIN:
         return _round_robin()
     return _least_of_two(random.Random(seed))
 
 
 def order_function(order: Order) -> OrderFunction:
-    """Return the function that gives a waiter its sort key.
+    """Return the function that computes the sort key of a waiter.
 
-    It takes the priority, the deadline in seconds and the arrival number.
+    Its parameters are the priority, the deadline in seconds and the arrival number.
     """
     if order is Order.FIRST_COME:
         return lambda priority, deadline, number: (0.0, 0.0, number)
@@ -82,5 +82,5 @@
 
 
 def expected_load(backend: Backend) -> float:
-    """Return our calls in flight there, weighed by how slow it has been."""
+    """Return this node's calls in flight, weighted by the expected call duration."""
     return (backend.in_flight + 1) * backend.expected_call_s()
--- a/packages/node/src/eelgrass_node/process/server_choice.py
+++ b/packages/node/src/eelgrass_node/process/server_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the server of a service for a request, from what this node knows."""
+"""Chooses the server of a service for a request, from this node's local state."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,13 +16,12 @@
 
 
 class ServerCriteria(msgspec.Struct, frozen=True):
-    """What a request asks of the server of ``service`` that it goes to.
+    """What a request requires of the server of ``service`` that it is sent to.
 
-    ``subject`` names the last part of a prompt that others share, and
-    ``shared_tokens`` counts the tokens up to it. Those ``tried`` are rather not to be
-    chosen again. ``inputs_at`` is the data centre that holds large results which the
-    server has to fetch, and ``regions`` are those to which the request is bound, None
-    for any.
+    ``prefix_key`` identifies the longest prefix of a prompt that others share, and
+    ``shared_tokens`` is its length. Servers in ``tried`` are avoided if possible.
+    ``inputs_at`` is the data centre that holds large results that the server has to
+    fetch, and ``regions`` are those to which the request is bound, None for any.
     """
 
     service: ServiceName
@@ -34,7 +33,7 @@
 
 
 class ServerChoice:
-    """The choice of one node, which is in ``data_centre``."""
+    """Chooses servers for a node in ``data_centre``."""
 
     def __init__(
         self,
@@ -49,7 +48,7 @@
         self._deployment = deployment
 
     def choose(self, criteria: ServerCriteria) -> Backend | None:
-        """Return a server, or None where the service has none in use."""
+        """Return a server, or None if the service has no usable server."""
         now = asyncio.get_running_loop().time()
         usable = self._backends.usable(criteria.service)
         allowed = [server for server in usable if server.is_in(criteria.regions)]
@@ -72,9 +71,9 @@
     def copy_source(
         self, chosen: Backend, prefix_key: str | None, shared_tokens: int
     ) -> Backend | None:
-        """Return the engine from which the chosen one should copy shared parts.
+        """Return the engine from which the chosen one should copy a shared prefix.
 
-        One that leaves serves a while longer, and is as good as any for that.
+        A leaving engine may be returned, as it keeps serving for a while.
         """
         service = ServiceName(chosen.entry.service)
         deployment = self._deployment()
--- a/packages/node/src/eelgrass_node/process/server_list.py
+++ b/packages/node/src/eelgrass_node/process/server_list.py
@@ -1,13 +1,13 @@
-"""The backend servers as the platform's store lists them.
+"""The backend servers as listed in the platform's store.
 
-An entry that is removed means that its server is gone or leaves. While the
-store was out of reach entries may lapse although their servers live; those are
-back within two seconds of its return, so removals that are seen just after an
-outage wait that long.
+The removal of an entry means that its server has terminated or is leaving. During an
+outage of the store, entries may expire although their servers are running. Those are
+written again within two seconds of its end, so removals that are seen just after an
+outage are delayed by that long.
 
-An entry that cannot be read names no server to use: the one under its id gets no
-new work until it is listed again. One of an earlier life of its server, which a
-delayed write may bring, changes nothing.
+If an entry cannot be decoded, the server with its id gets no new work until it is
+listed again. An entry of an earlier incarnation, which a delayed write may bring, is
+ignored.
 """
 
 import asyncio
@@ -22,19 +22,19 @@
 
 __all__ = ["ServerList"]
 
-# Entries that lapsed in an outage are back within about 2 s of its end (the
-# users' letter); the rest is the time in which a read sees them.
+# Entries that expired during an outage are written again within about 2 s of its end;
+# the rest is the time until a read sees them.
 RELIST_DELAY_S = 2.6
-# Starts that are remembered of servers that are no longer listed; a delayed
-# write comes within seconds, in which a few dozen servers come and go.
+# Start numbers that are remembered, also of servers that are no longer listed. A
+# delayed write arrives within seconds, in which a few dozen servers come and go.
 MAX_REMEMBERED = 4096
 
 
 class ServerList:
-    """Keeps ``backends`` in line with the rows of the servers' table.
+    """Keeps ``backends`` in sync with the rows of the servers table.
 
-    ``decode`` turns a row's key and value into an entry. ``on_leaving`` is told
-    the id of each server that is newly seen as leaving or gone.
+    ``decode`` converts a row's key and value to an entry. ``on_leaving`` is called with
+    the id of each server that is newly seen as leaving or removed.
     """
 
     def __init__(
@@ -52,27 +52,27 @@
         self._outage_ended_at = float("-inf")
 
     def apply_rows(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take in rows that changed."""
+        """Apply changed rows."""
         for row in rows:
             server_id = BackendId(row.key)
             if row.value is None:
-                self._missing(server_id)
+                self._on_missing(server_id)
             else:
-                self._listed(server_id, row.value)
+                self._on_listed(server_id, row.value)
         self._apply()
 
     def apply_snapshot(self, keys: set[str]) -> None:
-        """Take in which entries there are, after a whole read."""
+        """Apply the keys of all entries, after a full read."""
         for server_id in self._entry_by_id.keys() - keys:
-            self._missing(server_id)
+            self._on_missing(server_id)
         self._apply()
 
     def on_outage_end(self) -> None:
-        """Note that the store answers again after an outage."""
+        """Record that the store answers again after an outage."""
         self._outage_ended_at = _now()
 
     def forget(self, incarnation: ServerIncarnation) -> None:
-        """Drop a server whose address belongs to another one by now."""
+        """Remove a server whose address now belongs to another one."""
         entry = self._entry_by_id.get(incarnation.id)
         if entry is not None and entry.incarnation == incarnation:
             del self._entry_by_id[incarnation.id]
@@ -83,18 +83,22 @@
             )
             self._apply()
 
-    def _listed(self, server_id: BackendId, value: bytes) -> None:
+    def _on_listed(self, server_id: BackendId, value: bytes) -> None:
         try:
             entry = self._decode(server_id, value)
         except ServerEntryMalformed as error:
-            log(Part.HOSTS, "An entry is not taken.", error=str(error))
+            log(
+                Part.HOSTS,
+                "A server entry is invalid; the server gets no new work.",
+                error=str(error),
+            )
             self._remove_at.pop(server_id, None)
             self._entry_by_id.pop(server_id, None)
             return
         if entry.started < self._newest_start_by_id.get(server_id, 0):
             log(
                 Part.HOSTS,
-                "An entry of an earlier life is not taken.",
+                "An entry of an earlier incarnation is ignored.",
                 backend=server_id,
                 started=entry.started,
                 known=self._newest_start_by_id[server_id],
@@ -121,7 +125,7 @@
                 self._on_leaving(server_id)
 
     def _remember(self, entry: HostEntry) -> None:
-        """Remember the start of a server, also for when it is no longer listed."""
+        """Remember the start number of a server, also after its removal."""
         starts = self._newest_start_by_id
         starts.pop(entry.id, None)
         starts[entry.id] = entry.started
@@ -130,7 +134,7 @@
             if oldest is not None:
                 del starts[oldest]
 
-    def _missing(self, server_id: BackendId) -> None:
+    def _on_missing(self, server_id: BackendId) -> None:
         if server_id not in self._entry_by_id or server_id in self._remove_at:
             return
         wait_s = self._outage_ended_at + RELIST_DELAY_S - _now()
@@ -148,7 +152,7 @@
     def _remove(self, server_id: BackendId) -> None:
         self._remove_at.pop(server_id, None)
         if self._entry_by_id.pop(server_id, None) is not None:
-            log(Part.HOSTS, "A server is gone from the list.", backend=server_id)
+            log(Part.HOSTS, "A server was removed from the list.", backend=server_id)
             self._on_leaving(server_id)
 
     def _apply(self) -> None:
--- a/packages/node/src/eelgrass_node/process/server_use.py
+++ b/packages/node/src/eelgrass_node/process/server_use.py
@@ -1,14 +1,14 @@
-"""What a queue of pieces has at one server: calls, results held, its pace."""
+"""The use of one server by a batch queue: calls, held results and slowness."""
 
 from eelgrass_coordination import MovingAverage
 
 __all__ = ["ServerUse"]
 
-# Weight of the newest call in a server's slowness: it settles in a few calls,
-# and a call takes a fifth of a second.
+# Weight of the latest call in a server's slowness. The average settles within a few
+# calls, and a call takes a fifth of a second.
 SLOWNESS_WEIGHT = 0.3
-# What is known of a server's pace fades with this half-life while it is not
-# called, so that one that was slow is tried again.
+# Half-life of the slowness of a server that is not called, so that a server that was
+# slow is tried again.
 SLOWNESS_HALF_LIFE_S = 3.0
 
 
@@ -27,36 +27,36 @@
         self._bytes_by_handle: dict[str, tuple[float, int]] = {}
 
     def hold(self, handle: str, size: int, until: float) -> None:
-        """Note a result that takes up memory until it is freed or expires."""
+        """Record a result that occupies memory until it is freed or expires."""
         self._bytes_by_handle[handle] = (until, size)
 
     def free(self, handle: str) -> None:
-        """Note that a result was freed."""
+        """Record that a result was freed."""
         self._bytes_by_handle.pop(handle, None)
 
     def held_bytes(self, now: float) -> int:
-        """Return how much memory results take up."""
+        """Return the size of the results that are held and have not expired."""
         expired = [h for h, (until, _) in self._bytes_by_handle.items() if until <= now]
         for handle in expired:
             del self._bytes_by_handle[handle]
         return sum(size for _, size in self._bytes_by_handle.values())
 
     def record_call(self, ratio: float, now: float) -> None:
-        """Take in how long a call took against what was expected.
+        """Record the ratio of a call's duration to the expected duration.
 
-        Of a call that was given up, it is how long it took at least.
+        For a call that was abandoned, it is a lower bound.
         """
         self._slowness.record(ratio)
         self._called_at = now
 
     def slowness(self, now: float) -> float:
-        """Return how many times as long as expected calls take, at least 1."""
+        """Return the mean ratio of actual to expected duration, at least 1."""
         excess = max(0.0, self._slowness.mean - 1.0)
         age_s = now - self._called_at
         return 1.0 + excess * 0.5 ** (age_s / SLOWNESS_HALF_LIFE_S)
 
     def summary(self, now: float) -> dict[str, float]:
-        """Return calls under way, megabytes held and slowness, for a log line."""
+        """Return the calls in progress, megabytes held and slowness, for a log line."""
         return {
             "calls": self.calls,
             "held_mb": round(self.held_bytes(now) / 1e6, 2),
--- a/packages/node/tests/test_failure_gossip.py
+++ b/packages/node/tests/test_failure_gossip.py
@@ -25,9 +25,12 @@
 
 def known(*names):
     backends = Backends()
-    place = DataCentre("a")
+    data_centre = DataCentre("a")
     backends.update(
-        [HostEntry(BackendId(name), "readers", f"{name}:1", place) for name in names]
+        [
+            HostEntry(BackendId(name), "readers", f"{name}:1", data_centre)
+            for name in names
+        ]
     )
     return backends
 
@@ -52,16 +55,16 @@
 
     async def test_successes_in_between_do_not_make_a_failing_server_sound(self):
         [backend] = known("e1").by_id.values()
-        pauses = []
+        suspicions_s = []
         for _ in range(4):
             backend.suspect()
-            pauses.append(backend.suspect_until - now())
-            await asyncio.sleep(pauses[-1] + 0.01)
+            suspicions_s.append(backend.suspect_until - now())
+            await asyncio.sleep(suspicions_s[-1] + 0.01)
             backend.record_success(took_s=0.001)
-        assert pauses[-1] > 6 * pauses[0]
+        assert suspicions_s[-1] > 6 * suspicions_s[0]
 
     async def test_failures_of_long_ago_are_forgiven(self, monkeypatch):
-        monkeypatch.setattr(backends_module, "FORGIVEN_S", 0.05)
+        monkeypatch.setattr(backends_module, "FAILURE_RESET_S", 0.05)
         [backend] = known("e1").by_id.values()
         for _ in range(3):
             backend.suspect()
@@ -76,7 +79,7 @@
     def __init__(self, count):
         self.backends = [known("grey", "sound") for _ in range(count)]
         self.time_ms = 0
-        self.failing = [
+        self.gossips = [
             FailureGossip(each, self.announce, self.clock) for each in self.backends
         ]
 
@@ -84,9 +87,9 @@
         self.time_ms += 1
         return self.time_ms
 
-    def announce(self, mark):
-        for failing in self.failing:
-            failing.receive(mark)
+    def announce(self, item):
+        for gossip in self.gossips:
+            gossip.receive(item)
         return True
 
 
@@ -98,35 +101,35 @@
         """
         draw = random.Random(3)
         lost = {True: 0, False: 0}
-        for telling in lost:
+        for is_announced in lost:
             nodes = Nodes(8)
             for _ in range(200):
                 at = draw.randrange(8)
                 grey = nodes.backends[at].by_id["grey"]
                 if grey.suspect_until <= now() and draw.random() < 0.45:
-                    lost[telling] += 1
+                    lost[is_announced] += 1
                     grey.suspect()
-                    if telling:
-                        nodes.failing[at].announce_failure(grey)
+                    if is_announced:
+                        nodes.gossips[at].announce_failure(grey)
                 await asyncio.sleep(0.001)
         assert lost[True] <= lost[False] / 2
 
     async def test_failures_of_an_earlier_life_are_nothing(self):
         nodes = Nodes(1)
-        place = DataCentre("a")
-        entry = HostEntry(BackendId("grey"), "readers", "g:1", place, started=500)
+        data_centre = DataCentre("a")
+        entry = HostEntry(BackendId("grey"), "readers", "g:1", data_centre, started=500)
         nodes.backends[0].update([entry])
         grey = nodes.backends[0].by_id["grey"]
-        nodes.failing[0].receive(GossipItem(GOSSIP_KIND, "grey", 499))
+        nodes.gossips[0].receive(GossipItem(GOSSIP_KIND, "grey", 499))
         assert grey.suspect_until == 0.0
-        nodes.failing[0].receive(GossipItem(GOSSIP_KIND, "grey", 501))
+        nodes.gossips[0].receive(GossipItem(GOSSIP_KIND, "grey", 501))
         assert grey.suspect_until > now()
 
     async def test_marks_of_other_kinds_and_unknown_servers_are_nothing(self):
         nodes = Nodes(1)
-        for mark in (
+        for item in (
             GossipItem("leaving", "grey", 1),
             GossipItem(GOSSIP_KIND, "unknown", 2),
         ):
-            nodes.failing[0].receive(mark)
+            nodes.gossips[0].receive(item)
         assert nodes.backends[0].by_id["grey"].suspect_until == 0.0
--- a/packages/node/tests/test_placement.py
+++ b/packages/node/tests/test_placement.py
@@ -8,7 +8,7 @@
 from eelgrass_coordination.ids import BackendId, DataCentre
 from eelgrass_node.process.backends import Backend, Backends, HostEntry
 from eelgrass_node.process.placement import (
-    SETTLED_S,
+    CACHE_WARM_S,
     copy_source,
     hash_order,
     place_plain,
@@ -99,13 +99,13 @@
     def test_a_new_engine_copies_from_the_one_that_had_the_subject(self):
         engines = self.engines()
         first, second = hash_order(engines, "subject")[:2]
-        first.first_listed_at = 100.0 - SETTLED_S / 2
+        first.first_listed_at = 100.0 - CACHE_WARM_S / 2
         assert self.source(engines, first) is second
 
     def test_one_that_is_settled_holds_its_subjects_itself(self):
         engines = self.engines()
         first = hash_order(engines, "subject")[0]
-        first.first_listed_at = 100.0 - 2 * SETTLED_S
+        first.first_listed_at = 100.0 - 2 * CACHE_WARM_S
         assert self.source(engines, first) is None
 
     def test_another_engine_copies_what_the_first_one_holds(self):
