--- a/packages/node/src/eelgrass_node/process/crash_detector.py
+++ b/packages/node/src/eelgrass_node/process/crash_detector.py
@@ -1,8 +1,8 @@
-"""Tells servers that have ended from connections that broke, with what ran there.
+"""Detects crashed servers, and collects the requests that they were running.
 
-A request that loses its connection cannot tell why: the server ended, reset one
-connection, or left as planned. A server that has ended without notice is still listed,
-does not leave, and nothing listens at its address.
+A lost connection alone does not tell whether the server crashed, reset one connection
+or stopped as planned. A server that has crashed is still listed, is not leaving, and
+nothing listens at its address.
 """
 
 import asyncio
@@ -15,16 +15,18 @@
 
 __all__ = ["CrashDetector", "Fingerprint", "Listening"]
 
-# The same for all attempts at one request.
+# Identifies a request; it is the same for all attempts.
 Fingerprint = NewType("Fingerprint", str)
 
-# A connection may be lost on a bad link; after these tries the server counts as living.
+# Probes of an address that gives no answer. After these the server counts as running:
+# the connection may have been lost on a bad link.
 TRIES = 4
-AGAIN_S = 0.3
-# A caller that goes on elsewhere waits so long for the answer: a host that has lost a
-# process refuses a connection within two ways between data centres.
-CHECKED_S = 0.05
-# Servers that have ended are remembered for calls that notice it late.
+RETRY_INTERVAL_S = 0.3
+# A request that continues on another server waits this long for the result of a check.
+# A host whose process has crashed refuses a connection within one round trip between
+# data centres.
+CHECK_WAIT_S = 0.05
+# Crashed servers that are remembered, for calls that notice the crash late.
 MAX_REMEMBERED = 1024
 
 
@@ -37,95 +39,96 @@
 
 
 class CrashDetector:
-    """Collects the requests that servers were running when they ended.
+    """Collects the requests that servers were running when they crashed.
 
-    ``listening_at`` asks for an address, and ``on_ended`` is told which requests a life
-    of a server ended under, more than once where some notice late.
+    ``listening_at`` probes an address. ``on_crash`` is called with the incarnation of
+    a crashed server and the requests that it was running, and again for requests that
+    notice the crash late.
     """
 
     def __init__(
         self,
         backends: Backends,
         listening_at: Callable[[str], Awaitable[Listening]],
-        on_ended: Callable[[ServerIncarnation, list[Fingerprint]], None],
+        on_crash: Callable[[ServerIncarnation, list[Fingerprint]], None],
     ) -> None:
         self._backends = backends
         self._listening_at = listening_at
-        self._on_ended = on_ended
-        self._lost_by_life: dict[ServerIncarnation, list[Fingerprint]] = {}
-        self._ended: dict[ServerIncarnation, None] = {}
-        self._check_by_life: dict[ServerIncarnation, asyncio.Task] = {}
+        self._on_crash = on_crash
+        self._lost_by_incarnation: dict[ServerIncarnation, list[Fingerprint]] = {}
+        self._crashed: dict[ServerIncarnation, None] = {}
+        self._check_by_incarnation: dict[ServerIncarnation, asyncio.Task] = {}
 
     def on_connection_lost(self, backend: Backend, request: Fingerprint) -> None:
-        """Note that a request lost its connection to a server that may have run it."""
+        """Handle the loss of a connection to a server that may have run a request."""
         incarnation = backend.entry.incarnation
-        if incarnation in self._ended:
-            self._tell(backend, [request])
+        if incarnation in self._crashed:
+            self._report(backend, [request])
             return
         if self._is_planned(backend):
             return
-        lost = self._lost_by_life.get(incarnation)
+        lost = self._lost_by_incarnation.get(incarnation)
         if lost is not None:
             lost.append(request)
             return
-        self._lost_by_life[incarnation] = [request]
+        self._lost_by_incarnation[incarnation] = [request]
         check = asyncio.create_task(self._check(backend))
-        self._check_by_life[incarnation] = check
-        check.add_done_callback(lambda _: self._check_by_life.pop(incarnation))
+        self._check_by_incarnation[incarnation] = check
+        check.add_done_callback(lambda _: self._check_by_incarnation.pop(incarnation))
 
     async def wait_for_check(self, backend: Backend) -> None:
-        """Wait a short while until it is known whether a server has ended."""
-        check = self._check_by_life.get(backend.entry.incarnation)
+        """Wait a short time for the running check of a server, if there is one."""
+        check = self._check_by_incarnation.get(backend.entry.incarnation)
         if check is not None:
-            await asyncio.wait({check}, timeout=CHECKED_S)
+            await asyncio.wait({check}, timeout=CHECK_WAIT_S)
 
     def stop(self) -> None:
-        """End all checks."""
-        for check in self._check_by_life.values():
+        """Cancel all checks."""
+        for check in self._check_by_incarnation.values():
             check.cancel()
 
     async def _check(self, backend: Backend) -> None:
         incarnation = backend.entry.incarnation
         try:
-            listening = await self._ask(backend)
+            listening = await self._probe(backend)
         finally:
-            lost = self._lost_by_life.pop(incarnation)
+            lost = self._lost_by_incarnation.pop(incarnation)
         if listening is Listening.NO:
             self._remember(incarnation)
-            self._tell(backend, lost)
+            self._report(backend, lost)
             return
         log(
             Part.HOSTS,
-            "Connections to a server were lost; it has not ended.",
+            "Connections to a server were lost; it is not considered crashed.",
             backend=incarnation.id,
             listening=listening.value,
             requests=lost,
         )
 
-    async def _ask(self, backend: Backend) -> Listening:
+    async def _probe(self, backend: Backend) -> Listening:
         for _ in range(TRIES):
             listening = await self._listening_at(backend.entry.address)
             if listening is not Listening.UNKNOWN:
                 return listening
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return Listening.UNKNOWN
 
     def _is_planned(self, backend: Backend) -> bool:
-        """Return whether a server was known to leave, or to be gone, before."""
+        """Return whether a server was already leaving or no longer listed."""
         listed = self._backends.by_id.get(backend.entry.id)
         return listed is not backend or self._backends.is_leaving(backend)
 
     def _remember(self, incarnation: ServerIncarnation) -> None:
-        self._ended[incarnation] = None
-        if len(self._ended) > MAX_REMEMBERED:
-            del self._ended[next(iter(self._ended))]
+        self._crashed[incarnation] = None
+        if len(self._crashed) > MAX_REMEMBERED:
+            del self._crashed[next(iter(self._crashed))]
 
-    def _tell(self, backend: Backend, requests: list[Fingerprint]) -> None:
+    def _report(self, backend: Backend, requests: list[Fingerprint]) -> None:
         log(
             Part.HOSTS,
-            "A server has ended while it ran requests.",
+            "A server crashed while it was running requests.",
             backend=backend.entry.id,
             address=backend.entry.address,
             requests=requests,
         )
-        self._on_ended(backend.entry.incarnation, requests)
+        self._on_crash(backend.entry.incarnation, requests)
--- a/packages/node/src/eelgrass_node/process/crash_gossip.py
+++ b/packages/node/src/eelgrass_node/process/crash_gossip.py
@@ -1,8 +1,8 @@
-"""Tells other nodes under which requests servers have ended, and hears of it.
+"""Announces crashes of servers under requests, and applies such announcements.
 
-A request that ends servers comes again at any node. What each node sees of it is told
-as marks of the membership, which reach all nodes within milliseconds, also where the
-store does not answer.
+A request that crashes servers may arrive next at any node. Each node spreads the
+crashes that it sees as gossip items, which reach all nodes within milliseconds, even
+when the store does not answer.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -22,10 +22,10 @@
 
 
 class CrashGossip:
-    """The news that one node tells and hears; what it hears goes to ``quarantine``.
+    """Announcements that one node sends, and receives into its ``quarantine``.
 
-    ``announce`` tells of marks, and ``clock`` returns the time of day in milliseconds,
-    by which later news of a request supersedes earlier news of the same kind.
+    ``announce`` spreads gossip items, and ``clock`` returns Unix time in milliseconds,
+    by which a later item on a request supersedes an earlier one of the same kind.
     """
 
     def __init__(
@@ -41,34 +41,34 @@
     def announce_crash(
         self, incarnation: ServerIncarnation, requests: Iterable[Fingerprint]
     ) -> None:
-        """Tell others that a server has ended under requests."""
+        """Announce that a server has crashed under requests."""
         now = self._clock()
         self._announce(
             [GossipItem(CRASH_KIND, _name(r, incarnation), now) for r in requests]
         )
 
     def announce_success(self, request: Fingerprint) -> None:
-        """Tell others that a server has run a request to its end."""
+        """Announce that a server has completed a request."""
         self._announce([GossipItem(SUCCESS_KIND, request, self._clock())])
 
-    def receive(self, mark: GossipItem) -> None:
-        """Take in what another node tells; marks of other kinds are nothing here."""
-        if mark.kind == SUCCESS_KIND:
-            self._quarantine.clear(Fingerprint(mark.name))
-        elif mark.kind == CRASH_KIND:
-            self._hear_ended(mark.name)
+    def receive(self, item: GossipItem) -> None:
+        """Apply a gossip item from another node; other kinds are ignored."""
+        if item.kind == SUCCESS_KIND:
+            self._quarantine.clear(Fingerprint(item.name))
+        elif item.kind == CRASH_KIND:
+            self._receive_crash(item.name)
 
-    def _hear_ended(self, name: str) -> None:
+    def _receive_crash(self, name: str) -> None:
         try:
             request, started, server_id = name.split(" ", 2)
             incarnation = ServerIncarnation(BackendId(server_id), int(started))
         except ValueError as error:
-            log(Part.HOSTS, "A mark is not taken.", name=name, error=str(error))
+            log(Part.HOSTS, "A gossip item is invalid.", name=name, error=str(error))
             return
         if self._quarantine.record_crash(Fingerprint(request), incarnation):
             log(
                 Part.HOSTS,
-                "Another node says that a server ended under a request.",
+                "Another node reported that a server crashed under a request.",
                 backend=incarnation.id,
                 request=request,
             )
--- a/packages/node/src/eelgrass_node/process/crash_table.py
+++ b/packages/node/src/eelgrass_node/process/crash_table.py
@@ -1,9 +1,10 @@
-"""Keeps in the platform's store under which requests servers have ended.
+"""Keeps the crashes of servers under requests in a table of the platform's store.
 
-Marks of the membership are faster, and reach a node only while it runs and hears
-others. A node that starts later, or that reaches the store and no other node, reads the
-table. Each row says that one life of a server ended under one request; it is written
-whole, so writers need not agree, and is removed by whoever finds it outdated.
+Gossip is faster, but reaches a node only while it runs and is connected to others. A
+node that starts later, or that reaches the store but no other node, reads the table.
+Each row states that one incarnation of a server crashed under one request. Rows do not
+depend on each other, so writers need no coordination. Any node that finds a row
+outdated removes it.
 """
 
 import asyncio
@@ -20,19 +21,19 @@
 from .quarantine import MAX_CRASHES, RETENTION_S, Quarantine
 from .store_tables import StoredRow
 
-__all__ = ["CrashTable", "Crash", "decode_crash"]
+__all__ = ["Crash", "CrashTable", "decode_crash"]
 
-# Ends that are noticed together are written together.
-COLLECT_S = 0.05
-# Rows that are outdated do no harm; their removals wait for more, or for a write.
-REMOVE_S = 2.0
-# Between two tries while the store does not answer, with up to half of it more.
-AGAIN_S = 0.4
-# The platform takes so many entries in one transaction.
+# Crashes that are noticed within this time are written in one batch.
+BATCH_DELAY_S = 0.05
+# Outdated rows do no harm; their removal waits this long for more changes to batch.
+REMOVAL_DELAY_S = 2.0
+# Interval of retries while the store does not answer, plus up to half of it as jitter.
+RETRY_INTERVAL_S = 0.4
+# The platform's limit on entries in one transaction.
 MAX_ENTRIES = 100
-# What waits for the store; the oldest is dropped where more comes.
+# Changes that may wait for the store; beyond that the oldest is dropped.
 MAX_PENDING = 1000
-# Rows of the table; beyond that those of requests with the fewest ends are removed.
+# Rows of the table; beyond that those of requests with the fewest crashes are removed.
 MAX_ROWS = 2000
 DIGEST_BYTES = 4
 KEY_SEPARATOR = "-"
@@ -42,7 +43,7 @@
 
 
 class Crash(msgspec.Struct, frozen=True):
-    """The end of a server under a request, at a time of day in Unix milliseconds."""
+    """The crash of a server under a request, with its time in Unix milliseconds."""
 
     request: Fingerprint
     server: ServerIncarnation
@@ -58,10 +59,10 @@
 
 
 class CrashTable:
-    """The rows as this node knows them, and what it has to write.
+    """The rows that this node has read, and the changes that it has to write.
 
-    ``write`` changes rows of the store's table, and ``clock`` returns the time of day
-    in milliseconds. What is read goes to ``quarantine``.
+    ``write`` changes rows of the table in the store, and ``clock`` returns Unix time in
+    milliseconds. Crashes that are read are recorded in ``quarantine``.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         self._quarantine = quarantine
         self._write = write
         self._clock = clock
-        self._end_by_key: dict[str, Crash] = {}
+        self._crash_by_key: dict[str, Crash] = {}
         # None stands for a row to be removed.
         self._pending_by_key: dict[str, bytes | None] = {}
         self._wake = asyncio.Event()
@@ -79,58 +80,58 @@
     def record_crash(
         self, incarnation: ServerIncarnation, requests: Iterable[Fingerprint]
     ) -> None:
-        """Write that a server has ended under requests."""
+        """Queue rows for a server that has crashed under requests."""
         for request in requests:
-            end = Crash(request, incarnation, self._clock())
-            self._put(_key(request, incarnation), msgspec.json.encode(end))
+            crash = Crash(request, incarnation, self._clock())
+            self._enqueue(_key(request, incarnation), msgspec.json.encode(crash))
             self._urgent.set()
 
     def remove_crashes(
         self, request: Fingerprint, incarnations: Iterable[ServerIncarnation]
     ) -> None:
-        """Remove the rows of a request that a server has run to its end."""
+        """Queue the removal of a request's rows after a server has completed it."""
         for incarnation in incarnations:
-            self._put(_key(request, incarnation), None)
+            self._enqueue(_key(request, incarnation), None)
 
     def apply_rows(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take in rows that changed."""
+        """Apply changed rows."""
         for row in rows:
             if row.value is None:
-                self._removed(row.key)
+                self._on_row_removed(row.key)
             else:
-                self._written(row.key, row.value)
+                self._on_row_written(row.key, row.value)
 
     def apply_snapshot(self, keys: set[str]) -> None:
-        """Take in which rows there are, after a whole read."""
-        for key in self._end_by_key.keys() - keys:
-            self._removed(key)
+        """Apply the keys of all rows, after a full read."""
+        for key in self._crash_by_key.keys() - keys:
+            self._on_row_removed(key)
 
     async def run(self) -> None:
-        """Write what there is to write, until cancelled."""
+        """Write queued changes until cancelled."""
         while True:
             await self._wake.wait()
-            await self._collect()
+            await self._wait_for_batch()
             try:
-                await self._write_some()
+                await self._write_batch()
             except StoreUnavailable as error:
                 log(
                     Part.STORE,
-                    "Ends of servers are not written yet.",
+                    "Crash rows could not be written; trying again.",
                     error=str(error),
                     rows=len(self._pending_by_key),
                 )
-                await asyncio.sleep(AGAIN_S * random.uniform(1.0, 1.5))
+                await asyncio.sleep(RETRY_INTERVAL_S * random.uniform(1.0, 1.5))
 
-    async def _collect(self) -> None:
-        """Wait for more to write, for a shorter time where servers have ended."""
+    async def _wait_for_batch(self) -> None:
+        """Wait for more changes, for a shorter time if servers have crashed."""
         try:
-            async with asyncio.timeout(REMOVE_S):
+            async with asyncio.timeout(REMOVAL_DELAY_S):
                 await self._urgent.wait()
         except TimeoutError:
             return
-        await asyncio.sleep(COLLECT_S)
+        await asyncio.sleep(BATCH_DELAY_S)
 
-    async def _write_some(self) -> None:
+    async def _write_batch(self) -> None:
         self._queue_outdated()
         batch = dict(list(self._pending_by_key.items())[:MAX_ENTRIES])
         puts = {key: value for key, value in batch.items() if value is not None}
@@ -143,45 +144,47 @@
         if not self._pending_by_key:
             self._wake.clear()
 
-    def _put(self, key: str, value: bytes | None) -> None:
+    def _enqueue(self, key: str, value: bytes | None) -> None:
         self._pending_by_key.pop(key, None)
         self._pending_by_key[key] = value
         if len(self._pending_by_key) > MAX_PENDING:
             dropped = next(iter(self._pending_by_key))
             del self._pending_by_key[dropped]
-            log(Part.STORE, "The end of a server is not written.", row=dropped)
+            log(Part.STORE, "A crash row is dropped; too many wait.", row=dropped)
         self._wake.set()
 
     def _queue_outdated(self) -> None:
-        """Have rows removed whose time is over, and those that are too many."""
+        """Queue the removal of rows that have expired and of rows in excess."""
         since_ms = self._clock() - RETENTION_S * 1000
         outdated = [
-            key for key, end in self._end_by_key.items() if end.at_ms < since_ms
+            key for key, crash in self._crash_by_key.items() if crash.at_ms < since_ms
         ]
-        surplus = len(self._end_by_key) - MAX_ROWS
+        surplus = len(self._crash_by_key) - MAX_ROWS
         if surplus > 0:
-            outdated += sorted(self._end_by_key, key=self._worth)[:surplus]
+            outdated += sorted(self._crash_by_key, key=self._retention_priority)[
+                :surplus
+            ]
         for key in outdated[:MAX_ENTRIES]:
             self._pending_by_key.setdefault(key, None)
 
-    def _worth(self, key: str) -> tuple[int, int]:
-        end = self._end_by_key[key]
-        ends = len(self._quarantine.crashed_servers(end.request))
-        return (min(MAX_CRASHES, ends), end.at_ms)
+    def _retention_priority(self, key: str) -> tuple[int, int]:
+        crash = self._crash_by_key[key]
+        crashes = len(self._quarantine.crashed_servers(crash.request))
+        return (min(MAX_CRASHES, crashes), crash.at_ms)
 
-    def _written(self, key: str, value: bytes) -> None:
+    def _on_row_written(self, key: str, value: bytes) -> None:
         try:
-            end = decode_crash(value)
+            crash = decode_crash(value)
         except msgspec.MsgspecError as error:
-            log(Part.STORE, "A row is not taken.", row=key, error=str(error))
+            log(Part.STORE, "A crash row is invalid.", row=key, error=str(error))
             return
-        self._end_by_key[key] = end
-        age_s = max(0.0, (self._clock() - end.at_ms) / 1000)
-        self._quarantine.record_crash(end.request, end.server, age_s)
+        self._crash_by_key[key] = crash
+        age_s = max(0.0, (self._clock() - crash.at_ms) / 1000)
+        self._quarantine.record_crash(crash.request, crash.server, age_s)
 
-    def _removed(self, key: str) -> None:
-        """Forget an end, also one that only marks have told of."""
-        self._end_by_key.pop(key, None)
+    def _on_row_removed(self, key: str) -> None:
+        """Forget a crash, also one that is known only by gossip."""
+        self._crash_by_key.pop(key, None)
         request = Fingerprint(key.partition(KEY_SEPARATOR)[0])
         for incarnation in self._quarantine.crashed_servers(request):
             if _key(request, incarnation) == key:
--- a/packages/node/src/eelgrass_node/process/poison_requests.py
+++ b/packages/node/src/eelgrass_node/process/poison_requests.py
@@ -1,7 +1,7 @@
-"""Notices requests that end their servers, and keeps them from ever more servers.
+"""Detects requests that crash their servers, and keeps them from further servers.
 
-What one node sees is kept in its quarantine and told to the others, so that a request
-counts as the same one wherever it comes again.
+A node records the crashes that it sees in its quarantine and announces them to the
+other nodes, so that a request is recognized at whichever node it arrives.
 """
 
 from collections.abc import Awaitable, Callable, Iterable, Sequence
@@ -18,12 +18,11 @@
 
 
 class PoisonRequests:
-    """What one node does about requests that end their servers.
+    """Detection, announcement and quarantine of poison requests on one node.
 
-    ``listening_at`` asks whether anything listens at an address, ``announce`` tells
-    other nodes of marks, ``clock`` returns seconds and ``unix_ms`` the time of day in
-    milliseconds. ``write`` changes rows of the table of ends in the store, and
-    ``count`` counts events.
+    ``listening_at`` checks whether anything listens at an address, ``announce`` spreads
+    gossip items, ``clock`` returns seconds and ``unix_ms`` Unix time in milliseconds.
+    ``write`` changes rows of the crash table in the store, and ``count`` counts events.
     """
 
     def __init__(
@@ -45,13 +44,13 @@
     async def on_connection_lost(
         self, backend: Backend, requests: Iterable[Fingerprint]
     ) -> None:
-        """Note requests that lost a server, and wait for a check whether it ended."""
+        """Handle requests that lost a server, and wait for the check for a crash."""
         for request in requests:
             self.crash_detector.on_connection_lost(backend, request)
         await self.crash_detector.wait_for_check(backend)
 
     def record_success(self, request: Fingerprint) -> None:
-        """Clear a request that a server has run to its end, here and elsewhere."""
+        """Clear a request that a server has completed, on this and all other nodes."""
         incarnations = self.quarantine.clear(request)
         if incarnations:
             self.gossip.announce_success(request)
@@ -61,6 +60,6 @@
         self, incarnation: ServerIncarnation, requests: list[Fingerprint]
     ) -> None:
         self._count("server.ended")
-        unknown = [r for r in requests if self.quarantine.record_crash(r, incarnation)]
-        self.gossip.announce_crash(incarnation, unknown)
-        self.table.record_crash(incarnation, unknown)
+        new = [r for r in requests if self.quarantine.record_crash(r, incarnation)]
+        self.gossip.announce_crash(incarnation, new)
+        self.table.record_crash(incarnation, new)
--- a/packages/node/src/eelgrass_node/process/quarantine.py
+++ b/packages/node/src/eelgrass_node/process/quarantine.py
@@ -1,21 +1,22 @@
-"""Requests under which servers have ended, and those that are sent to none any more.
+"""Tracks the requests that servers crash under, and quarantines the harmful ones.
 
-The pattern it answers: one request ends each server that begins to run it, and its
-caller sends it again and again, under new attempt ids and to any node. Without a memory
-of the request all servers of a service end under it.
+One request may crash each server that starts to run it, while its caller sends it again
+and again, under new attempt ids and to any node. Without a record of the request, all
+servers of a service would crash under it.
 
-A server runs many requests at a time, and all of them lose it. What tells the one from
-its neighbours: they succeed elsewhere, which clears them, and they seldom share three
-servers with it. Those that share all three are tied, and may be tried again for a short
-time; the one that ends a fourth server is known then.
+A server runs many requests at a time, and all of them lose it in a crash. The harmful
+one differs from its neighbours: they succeed on other servers, which clears them, and
+they seldom share three crashed servers with it. Requests that share all three are tied,
+and may be tried again for a short time; the one that crashes a fourth server is then
+identified.
 
-Servers may also end together for a cause of their own, such as a data centre without
-power, and a request that many callers send runs on several of them. Ends at one moment
-count once, therefore, where each of these servers ran other requests, too, and another
-server ended at that moment which did not run this one: copies of a harmful request end
-just the servers that they run on.
+Servers may also crash together for another cause, such as a power failure in a data
+centre, and a request that many callers send runs on several of them. Simultaneous
+crashes therefore count once if each of these servers ran other requests, too, and a
+server that did not run this request crashed at the same time: copies of a harmful
+request crash only the servers that they run on.
 
-No network here; times are those of ``clock``, in seconds.
+This module does no network I/O; times are those of ``clock``, in seconds.
 """
 
 from collections.abc import Callable
@@ -29,50 +30,51 @@
 
 __all__ = ["MAX_CRASHES", "Quarantine"]
 
-# A request under which so many servers have ended is sent to no other one.
+# A request under which this many servers have crashed is sent to no other server.
 MAX_CRASHES = 3
-# Tied requests may be tried for so long after the last server ended: a caller that has
-# lost its answer comes again within this time.
+# Tied requests may be tried for this long after the last crash: a caller that has lost
+# its answer retries within this time.
 TIE_RETRY_S = 2.0
-# Ends within this time have one cause: they are noted as soon as connections break.
+# Crashes within this time have one cause: they are recorded when connections break.
 SAME_CAUSE_S = 0.3
-# A server that ends for a cause of its own runs more than one or two requests, mostly.
+# A server that crashes for another cause is usually running more than one or two
+# requests.
 MIN_NEIGHBOURS = 2
-# A request is remembered for so long after the last server has ended under it.
+# A request is remembered for this long after the last crash under it.
 RETENTION_S = 3600.0
-# Requests that are remembered; those under which fewest servers have ended go first.
+# Requests that are remembered; those with the fewest crashes are evicted first.
 MAX_REMEMBERED = 4096
 
 
 class _Suspect(msgspec.Struct):
-    """The servers that have ended under a request, with the time of each end."""
+    """The servers that have crashed under a request, with the time of each crash."""
 
-    ended_at_by_life: dict[ServerIncarnation, float]
+    time_by_server: dict[ServerIncarnation, float]
 
     @property
     def last_at(self) -> float:
-        return max(self.ended_at_by_life.values())
+        return max(self.time_by_server.values())
 
 
 class Quarantine:
-    """What one node knows of requests under which servers have ended."""
+    """One node's record of the requests under which servers have crashed."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._suspect_by_request: dict[Fingerprint, _Suspect] = {}
-        self._requests_by_life: dict[ServerIncarnation, set[Fingerprint]] = {}
+        self._requests_by_incarnation: dict[ServerIncarnation, set[Fingerprint]] = {}
 
     def __len__(self) -> int:
-        """Return how many requests are remembered."""
+        """Return the number of remembered requests."""
         return len(self._suspect_by_request)
 
     def crashed_servers(self, request: Fingerprint) -> tuple[ServerIncarnation, ...]:
-        """Return the servers that have ended under a request."""
-        suspect = self._known(request)
-        return () if suspect is None else tuple(suspect.ended_at_by_life)
+        """Return the servers that have crashed under a request."""
+        suspect = self._find(request)
+        return () if suspect is None else tuple(suspect.time_by_server)
 
     def quarantined_count(self) -> int:
-        """Return how many requests are sent to no server."""
+        """Return the number of quarantined requests."""
         return sum(
             self.is_quarantined(request) for request in list(self._suspect_by_request)
         )
@@ -80,23 +82,23 @@
     def record_crash(
         self, request: Fingerprint, incarnation: ServerIncarnation, age_s: float = 0.0
     ) -> bool:
-        """Note that a server ended under a request, ``age_s`` ago; False if known."""
+        """Record a crash under a request, ``age_s`` ago; return whether it is new."""
         if age_s >= RETENTION_S:
             return False
-        suspect = self._known(request)
+        suspect = self._find(request)
         if suspect is None:
-            self._make_room()
+            self._evict_if_full()
             suspect = self._suspect_by_request[request] = _Suspect({})
-        elif incarnation in suspect.ended_at_by_life:
+        elif incarnation in suspect.time_by_server:
             return False
-        suspect.ended_at_by_life[incarnation] = self._clock() - age_s
-        self._requests_by_life.setdefault(incarnation, set()).add(request)
-        if len(suspect.ended_at_by_life) >= MAX_CRASHES:
+        suspect.time_by_server[incarnation] = self._clock() - age_s
+        self._requests_by_incarnation.setdefault(incarnation, set()).add(request)
+        if len(suspect.time_by_server) >= MAX_CRASHES:
             log(
                 Part.REQUESTS,
-                "Servers have ended under a request again and again.",
+                "Servers have crashed repeatedly under a request.",
                 request=request,
-                backends=[known.id for known in suspect.ended_at_by_life],
+                backends=[known.id for known in suspect.time_by_server],
                 held=self.is_quarantined(request),
             )
         return True
@@ -104,105 +106,121 @@
     def remove_crash(
         self, request: Fingerprint, incarnation: ServerIncarnation
     ) -> None:
-        """Forget that a server has ended under a request."""
+        """Remove a server from those that have crashed under a request."""
         suspect = self._suspect_by_request.get(request)
-        if suspect is None or suspect.ended_at_by_life.pop(incarnation, None) is None:
+        if suspect is None or suspect.time_by_server.pop(incarnation, None) is None:
             return
-        self._drop_from_life(request, incarnation)
-        if not suspect.ended_at_by_life:
+        self._remove_request_from(request, incarnation)
+        if not suspect.time_by_server:
             del self._suspect_by_request[request]
 
     def clear(self, request: Fingerprint) -> tuple[ServerIncarnation, ...]:
-        """Forget a request that a server has run to its end; return what was known."""
+        """Forget a request that a server has completed; return the crashed servers."""
         suspect = self._suspect_by_request.pop(request, None)
         if suspect is None:
             return ()
-        for incarnation in suspect.ended_at_by_life:
-            self._drop_from_life(request, incarnation)
-        return tuple(suspect.ended_at_by_life)
+        for incarnation in suspect.time_by_server:
+            self._remove_request_from(request, incarnation)
+        return tuple(suspect.time_by_server)
 
     def is_suspect(self, request: Fingerprint) -> bool:
-        """Return whether a server has ended under a request."""
-        return self._known(request) is not None
+        """Return whether a server has crashed under a request."""
+        return self._find(request) is not None
 
     def is_quarantined(self, request: Fingerprint) -> bool:
-        """Return whether a request is sent to no server."""
-        suspect = self._known(request)
-        if suspect is None or len(suspect.ended_at_by_life) < MAX_CRASHES:
+        """Return whether a request is quarantined, that is, sent to no server."""
+        suspect = self._find(request)
+        if suspect is None or len(suspect.time_by_server) < MAX_CRASHES:
             return False
-        occasions = self._occasions(request, suspect)
-        if len(suspect.ended_at_by_life) > MAX_CRASHES:
-            return occasions > 1
-        if occasions < MAX_CRASHES:
+        crashes = self._independent_crashes(request, suspect)
+        if len(suspect.time_by_server) > MAX_CRASHES:
+            return crashes > 1
+        if crashes < MAX_CRASHES:
             return False
-        rivals = self._rivals(request, suspect)
-        if any(len(rival.ended_at_by_life) > MAX_CRASHES for rival in rivals):
-            # That one explains them all.
+        co_suspects = self._co_suspects(request, suspect)
+        if any(
+            len(co_suspect.time_by_server) > MAX_CRASHES for co_suspect in co_suspects
+        ):
+            # The co-suspect explains all of these crashes.
             return False
-        return not rivals or self._clock() - suspect.last_at >= TIE_RETRY_S
+        return not co_suspects or self._clock() - suspect.last_at >= TIE_RETRY_S
 
     def remaining_s(self, request: Fingerprint) -> float:
-        """Return how long a request will still be held, in seconds."""
-        suspect = self._known(request)
+        """Return how long a request will still be remembered, in seconds."""
+        suspect = self._find(request)
         if suspect is None:
             return 0.0
         return max(0.0, suspect.last_at + RETENTION_S - self._clock())
 
-    def _occasions(self, request: Fingerprint, suspect: _Suspect) -> int:
-        """Return how many ends count: those at one moment once, if others explain them.
+    def _independent_crashes(self, request: Fingerprint, suspect: _Suspect) -> int:
+        """Return the number of crashes that do not have a common cause.
 
-        They do not where one of the servers ran hardly anything else.
+        Simultaneous crashes count once if they have another explanation than this
+        request. They have none if one of the servers ran hardly any other request.
         """
-        ends = sorted(
-            (ended_at, self._ran_others(incarnation, request, suspect))
-            for incarnation, ended_at in suspect.ended_at_by_life.items()
+        crash_times = sorted(
+            (crashed_at, self._ran_other_requests(incarnation, request, suspect))
+            for incarnation, crashed_at in suspect.time_by_server.items()
         )
-        occasions = 0
-        while ends:
-            began_at = ends[0][0]
-            moment = [end for end in ends if end[0] - began_at <= SAME_CAUSE_S]
-            shared = all(ran_others for _, ran_others in moment)
-            together = shared and self._others_ended(suspect, began_at)
-            occasions += 1 if together else len(moment)
-            ends = ends[len(moment) :]
-        return occasions
-
-    def _others_ended(self, suspect: _Suspect, at: float) -> bool:
-        """Return whether a server ended at a moment that a suspect did not run on."""
-        for incarnation, requests in self._requests_by_life.items():
-            if incarnation in suspect.ended_at_by_life:
+        crashes = 0
+        while crash_times:
+            began_at = crash_times[0][0]
+            group = [
+                crash_time
+                for crash_time in crash_times
+                if crash_time[0] - began_at <= SAME_CAUSE_S
+            ]
+            ran_beside_others = all(
+                ran_other_requests for _, ran_other_requests in group
+            )
+            have_other_cause = ran_beside_others and self._others_crashed(
+                suspect, began_at
+            )
+            crashes += 1 if have_other_cause else len(group)
+            crash_times = crash_times[len(group) :]
+        return crashes
+
+    def _others_crashed(self, suspect: _Suspect, at: float) -> bool:
+        """Return whether a server without the suspect crashed at the same time."""
+        for incarnation, requests in self._requests_by_incarnation.items():
+            if incarnation in suspect.time_by_server:
                 continue
             known = (self._suspect_by_request[other] for other in requests)
             if any(
-                abs(k.ended_at_by_life[incarnation] - at) <= SAME_CAUSE_S for k in known
+                abs(k.time_by_server[incarnation] - at) <= SAME_CAUSE_S for k in known
             ):
                 return True
         return False
 
-    def _ran_others(
+    def _ran_other_requests(
         self, incarnation: ServerIncarnation, request: Fingerprint, suspect: _Suspect
     ) -> bool:
-        """Return whether a server ended under several requests that are no rivals."""
-        others = self._requests_by_life[incarnation] - {request}
-        speaking = (other for other in others if not self._is_rival(other, suspect))
-        return sum(1 for _ in islice(speaking, MIN_NEIGHBOURS)) == MIN_NEIGHBOURS
-
-    def _is_rival(self, other: Fingerprint, suspect: _Suspect) -> bool:
-        """Return whether all servers of a suspect ended under another request, too."""
-        ended = self._suspect_by_request[other].ended_at_by_life.keys()
-        return suspect.ended_at_by_life.keys() <= ended
-
-    def _rivals(self, request: Fingerprint, suspect: _Suspect) -> list[_Suspect]:
-        """Return the other requests under which all of the same servers ended."""
+        """Return whether a server crashed under several other requests.
+
+        Co-suspects do not count, because they crashed all of the same servers.
+        """
+        others = self._requests_by_incarnation[incarnation] - {request}
+        distinguishing = (
+            other for other in others if not self._is_co_suspect(other, suspect)
+        )
+        return sum(1 for _ in islice(distinguishing, MIN_NEIGHBOURS)) == MIN_NEIGHBOURS
+
+    def _is_co_suspect(self, other: Fingerprint, suspect: _Suspect) -> bool:
+        """Return whether all servers of a suspect crashed under another request."""
+        crashed = self._suspect_by_request[other].time_by_server.keys()
+        return suspect.time_by_server.keys() <= crashed
+
+    def _co_suspects(self, request: Fingerprint, suspect: _Suspect) -> list[_Suspect]:
+        """Return the other requests under which all of the same servers crashed."""
         sharing = (
-            self._requests_by_life[incarnation]
-            for incarnation in suspect.ended_at_by_life
+            self._requests_by_incarnation[incarnation]
+            for incarnation in suspect.time_by_server
         )
-        rivals = set.intersection(*sharing) - {request}
-        return [self._suspect_by_request[rival] for rival in rivals]
+        co_suspects = set.intersection(*sharing) - {request}
+        return [self._suspect_by_request[co_suspect] for co_suspect in co_suspects]
 
-    def _known(self, request: Fingerprint) -> _Suspect | None:
-        """Return what is remembered of a request, unless its time is over."""
+    def _find(self, request: Fingerprint) -> _Suspect | None:
+        """Return the record of a request, unless it has expired."""
         suspect = self._suspect_by_request.get(request)
         if suspect is None:
             return None
@@ -211,20 +229,20 @@
             return None
         return suspect
 
-    def _make_room(self) -> None:
+    def _evict_if_full(self) -> None:
         if len(self._suspect_by_request) < MAX_REMEMBERED:
             return
         suspects = self._suspect_by_request
 
-        def worth(request: Fingerprint) -> tuple[int, float]:
-            return (len(suspects[request].ended_at_by_life), suspects[request].last_at)
+        def eviction_key(request: Fingerprint) -> tuple[int, float]:
+            return (len(suspects[request].time_by_server), suspects[request].last_at)
 
-        self.clear(min(suspects, key=worth))
+        self.clear(min(suspects, key=eviction_key))
 
-    def _drop_from_life(
+    def _remove_request_from(
         self, request: Fingerprint, incarnation: ServerIncarnation
     ) -> None:
-        requests = self._requests_by_life[incarnation]
+        requests = self._requests_by_incarnation[incarnation]
         requests.discard(request)
         if not requests:
-            del self._requests_by_life[incarnation]
+            del self._requests_by_incarnation[incarnation]
--- a/packages/node/tests/test_crash_detector.py
+++ b/packages/node/tests/test_crash_detector.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(crash_detector_module, "AGAIN_S", 0.001)
+    monkeypatch.setattr(crash_detector_module, "RETRY_INTERVAL_S", 0.001)
 
 
 class Server:
@@ -29,12 +29,12 @@
         self.list()
         [self.backend] = self.backends.by_id.values()
         self.answers = list(answers)
-        self.asked = 0
-        self.told = []
-        self.ended = CrashDetector(
+        self.probes = 0
+        self.reported = []
+        self.detector = CrashDetector(
             self.backends,
             self.listening_at,
-            lambda life, requests: self.told.append((life, requests)),
+            lambda incarnation, requests: self.reported.append((incarnation, requests)),
         )
 
     def list(self, state=BackendState.LIVE):
@@ -45,12 +45,12 @@
         self.backends.update([msgspec.structs.replace(self.entry, state=state)])
 
     async def listening_at(self, address):
-        self.asked += 1
-        return self.answers[min(self.asked, len(self.answers)) - 1]
+        self.probes += 1
+        return self.answers[min(self.probes, len(self.answers)) - 1]
 
     async def lose(self, *requests):
         for request in requests:
-            self.ended.on_connection_lost(self.backend, request)
+            self.detector.on_connection_lost(self.backend, request)
         await asyncio.sleep(0.05)
 
 
@@ -58,21 +58,21 @@
     async def test_all_that_ran_there_is_told_once(self):
         server = Server(Listening.NO)
         await server.lose(ONE, TWO)
-        assert server.told == [(server.backend.entry.incarnation, [ONE, TWO])]
-        assert server.asked == 1
+        assert server.reported == [(server.backend.entry.incarnation, [ONE, TWO])]
+        assert server.probes == 1
 
     async def test_a_call_that_notices_late_is_told_without_asking(self):
         server = Server(Listening.NO)
         await server.lose(ONE)
         server.list(None)
         await server.lose(TWO)
-        assert [requests for _, requests in server.told] == [[ONE], [TWO]]
-        assert server.asked == 1
+        assert [requests for _, requests in server.reported] == [[ONE], [TWO]]
+        assert server.probes == 1
 
     async def test_it_is_asked_again_where_nothing_answers(self):
         server = Server(Listening.UNKNOWN, Listening.UNKNOWN, Listening.NO)
         await server.lose(ONE)
-        assert len(server.told) == 1
+        assert len(server.reported) == 1
 
 
 class TestOtherLosses:
@@ -80,7 +80,7 @@
     async def test_a_server_that_may_live_has_not_ended(self, listening):
         server = Server(listening)
         await server.lose(ONE)
-        assert server.told == []
+        assert server.reported == []
 
     @pytest.mark.parametrize("state", [BackendState.LEAVING, None])
     async def test_a_planned_end_is_no_end(self, state):
@@ -88,7 +88,7 @@
         server = Server(Listening.NO)
         server.list(state)
         await server.lose(ONE)
-        assert server.told == []
+        assert server.reported == []
 
 
 class TestListening:
--- a/packages/node/tests/test_crash_table.py
+++ b/packages/node/tests/test_crash_table.py
@@ -23,15 +23,15 @@
 OTHER = Fingerprint("other")
 
 
-def life(number):
+def incarnation(number):
     return ServerIncarnation(BackendId(f"e{number}"), number)
 
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(crash_table_module, "COLLECT_S", 0.005)
-    monkeypatch.setattr(crash_table_module, "REMOVE_S", 0.02)
-    monkeypatch.setattr(crash_table_module, "AGAIN_S", 0.01)
+    monkeypatch.setattr(crash_table_module, "BATCH_DELAY_S", 0.005)
+    monkeypatch.setattr(crash_table_module, "REMOVAL_DELAY_S", 0.02)
+    monkeypatch.setattr(crash_table_module, "RETRY_INTERVAL_S", 0.01)
 
 
 class Rows:
@@ -84,7 +84,7 @@
     async def test_ends_that_nodes_see_add_up_at_each(self):
         async with Nodes() as nodes:
             for number in range(MAX_CRASHES):
-                nodes.tables[number % 2].record_crash(life(number), [POISON])
+                nodes.tables[number % 2].record_crash(incarnation(number), [POISON])
             await until(
                 lambda: all(q.is_quarantined(POISON) for q in nodes.quarantines)
             )
@@ -92,30 +92,30 @@
     async def test_ends_that_are_noticed_together_are_one_call(self):
         async with Nodes() as nodes:
             requests = [Fingerprint(f"request-{number}") for number in range(50)]
-            nodes.tables[0].record_crash(life(1), requests)
+            nodes.tables[0].record_crash(incarnation(1), requests)
             await until(lambda: len(nodes.quarantines[1]) == 50)
             assert nodes.rows.writes == 1
 
     async def test_what_the_store_does_not_take_is_written_when_it_is_back(self):
         async with Nodes() as nodes:
             nodes.rows.down = True
-            nodes.tables[0].record_crash(life(1), [POISON])
+            nodes.tables[0].record_crash(incarnation(1), [POISON])
             await until(lambda: nodes.rows.writes > 2)
             nodes.rows.down = False
             await until(lambda: nodes.quarantines[1].is_suspect(POISON))
 
     async def test_rows_of_a_request_that_was_served_are_removed(self):
         async with Nodes() as nodes:
-            nodes.tables[0].record_crash(life(1), [POISON, OTHER])
+            nodes.tables[0].record_crash(incarnation(1), [POISON, OTHER])
             await until(lambda: nodes.quarantines[1].is_suspect(POISON))
-            nodes.tables[1].remove_crashes(POISON, [life(1)])
+            nodes.tables[1].remove_crashes(POISON, [incarnation(1)])
             await until(lambda: not nodes.quarantines[0].is_suspect(POISON))
             assert all(quarantine.is_suspect(OTHER) for quarantine in nodes.quarantines)
             assert len(nodes.rows.value_by_key) == 1
 
     async def test_nothing_is_written_without_need(self):
         async with Nodes() as nodes:
-            nodes.tables[0].record_crash(life(1), [POISON])
+            nodes.tables[0].record_crash(incarnation(1), [POISON])
             await until(lambda: nodes.rows.writes == 1)
             await asyncio.sleep(0.1)
             assert nodes.rows.writes == 1
@@ -124,10 +124,10 @@
 class TestBounds:
     async def test_rows_whose_time_is_over_are_removed_with_the_next_write(self):
         async with Nodes() as nodes:
-            nodes.tables[0].record_crash(life(1), [POISON])
+            nodes.tables[0].record_crash(incarnation(1), [POISON])
             await until(lambda: nodes.rows.value_by_key)
             nodes.unix_ms += int(RETENTION_S * 1000) + 1
-            nodes.tables[1].record_crash(life(2), [OTHER])
+            nodes.tables[1].record_crash(incarnation(2), [OTHER])
             await until(lambda: len(nodes.rows.value_by_key) == 1)
             await until(lambda: nodes.quarantines[0].is_suspect(OTHER))
             assert not nodes.quarantines[0].is_suspect(POISON)
@@ -137,11 +137,11 @@
         monkeypatch.setattr(crash_table_module, "MAX_ROWS", 10)
         async with Nodes() as nodes:
             for number in range(MAX_CRASHES):
-                nodes.tables[0].record_crash(life(number), [POISON])
+                nodes.tables[0].record_crash(incarnation(number), [POISON])
             for number in range(30):
                 nodes.unix_ms += 1
                 nodes.tables[1].record_crash(
-                    life(number), [Fingerprint(f"new-{number}")]
+                    incarnation(number), [Fingerprint(f"new-{number}")]
                 )
                 await asyncio.sleep(0.01)
             await until(lambda: len(nodes.rows.value_by_key) <= 11)
@@ -154,7 +154,7 @@
         async with Nodes() as nodes:
             nodes.rows.down = True
             for number in range(100):
-                nodes.tables[0].record_crash(life(number), [POISON])
+                nodes.tables[0].record_crash(incarnation(number), [POISON])
             nodes.rows.down = False
             await until(lambda: len(nodes.rows.value_by_key) == 10)
 
@@ -172,8 +172,8 @@
         return crash_table_module._key(POISON, ServerIncarnation(BackendId(server)))
 
     def row(self, key, **fields):
-        end = {"request": POISON, "server": ["e1", 0], "at_ms": 9_999_000, **fields}
-        return StoredRow(key, 1, msgspec.json.encode(end))
+        crash = {"request": POISON, "server": ["e1", 0], "at_ms": 9_999_000, **fields}
+        return StoredRow(key, 1, msgspec.json.encode(crash))
 
     def test_rows_that_cannot_be_read_are_nothing(self):
         quarantine, table = self.table()
--- a/packages/node/tests/test_quarantine.py
+++ b/packages/node/tests/test_quarantine.py
@@ -22,7 +22,7 @@
 NEIGHBOUR = Fingerprint("neighbour")
 
 
-def life(number, started=0):
+def incarnation(number, started=0):
     return ServerIncarnation(BackendId(f"e{number}"), started)
 
 
@@ -32,7 +32,7 @@
     quarantine = Quarantine(clock)
     for request, servers in ends_by_request.items():
         for server in servers:
-            quarantine.record_crash(request, life(server))
+            quarantine.record_crash(request, incarnation(server))
     return quarantine, clock
 
 
@@ -40,7 +40,7 @@
     def test_a_request_is_held_after_three_servers(self):
         quarantine, _ = quarantine_with({POISON: range(MAX_CRASHES - 1)})
         assert quarantine.is_suspect(POISON) and not quarantine.is_quarantined(POISON)
-        quarantine.record_crash(POISON, life(MAX_CRASHES))
+        quarantine.record_crash(POISON, incarnation(MAX_CRASHES))
         assert quarantine.is_quarantined(POISON)
         assert quarantine.remaining_s(POISON) == RETENTION_S
 
@@ -51,14 +51,14 @@
     def test_a_server_that_starts_again_under_its_id_is_another_one(self):
         quarantine, _ = quarantine_with({})
         for started in range(MAX_CRASHES):
-            quarantine.record_crash(POISON, life(1, started))
+            quarantine.record_crash(POISON, incarnation(1, started))
         assert quarantine.is_quarantined(POISON)
 
     def test_a_request_that_ran_to_its_end_is_cleared(self):
         """Three servers ended while it happened to run there; it is a proper one."""
         quarantine, _ = quarantine_with({NEIGHBOUR: [1, 2]})
-        assert quarantine.clear(NEIGHBOUR) == (life(1), life(2))
-        quarantine.record_crash(NEIGHBOUR, life(3))
+        assert quarantine.clear(NEIGHBOUR) == (incarnation(1), incarnation(2))
+        quarantine.record_crash(NEIGHBOUR, incarnation(3))
         assert not quarantine.is_quarantined(NEIGHBOUR)
 
     def test_what_was_noted_is_forgotten_in_time(self):
@@ -71,9 +71,9 @@
 
     def test_old_news_counts_from_when_it_happened(self):
         quarantine, clock = quarantine_with({})
-        quarantine.record_crash(POISON, life(1), age_s=RETENTION_S)
+        quarantine.record_crash(POISON, incarnation(1), age_s=RETENTION_S)
         assert not quarantine.is_suspect(POISON)
-        quarantine.record_crash(POISON, life(1), age_s=RETENTION_S - 1)
+        quarantine.record_crash(POISON, incarnation(1), age_s=RETENTION_S - 1)
         clock.now = 1.0
         assert not quarantine.is_suspect(POISON)
 
@@ -108,26 +108,28 @@
 
     POPULAR = Fingerprint("popular")
 
-    def lose(self, quarantine, servers, beside=5, without=(50, 51)):
+    def crash(self, quarantine, servers, neighbours=5, without=(50, 51)):
         """End servers under the popular request and others, each on one of them.
 
         The servers ``without`` end at the same moment and did not run it.
         """
         for server in servers:
-            for request in [self.POPULAR, *self.others(server, beside)]:
-                quarantine.record_crash(request, life(server))
+            for request in [self.POPULAR, *self.others(server, neighbours)]:
+                quarantine.record_crash(request, incarnation(server))
         for server in without:
-            for request in self.others(server, beside):
-                quarantine.record_crash(request, life(server))
+            for request in self.others(server, neighbours):
+                quarantine.record_crash(request, incarnation(server))
 
-    def others(self, server, beside):
-        return [Fingerprint(f"proper-{server}-{number}") for number in range(beside)]
+    def others(self, server, neighbours):
+        return [
+            Fingerprint(f"proper-{server}-{number}") for number in range(neighbours)
+        ]
 
     # Guards against a popular request that is refused for an hour after an outage.
     @pytest.mark.parametrize("count", [3, 4, 10])
     def test_a_popular_request_is_not_held(self, count):
         quarantine, clock = quarantine_with({})
-        self.lose(quarantine, range(count))
+        self.crash(quarantine, range(count))
         assert not quarantine.is_quarantined(self.POPULAR)
         clock.now = RETENTION_S - 1
         assert not quarantine.is_quarantined(self.POPULAR)
@@ -135,34 +137,34 @@
     def test_nor_is_one_that_another_server_ended_under_before(self):
         quarantine, clock = quarantine_with({self.POPULAR: [99]})
         clock.now = 100.0
-        self.lose(quarantine, range(2))
+        self.crash(quarantine, range(2))
         assert not quarantine.is_quarantined(self.POPULAR)
 
     # Guards against a harmful request in copies that passes for an outage.
     def test_one_more_end_at_another_moment_holds_it(self):
         quarantine, clock = quarantine_with({})
-        self.lose(quarantine, range(3))
+        self.crash(quarantine, range(3))
         clock.now = 3.0
-        self.lose(quarantine, [7])
+        self.crash(quarantine, [7])
         assert quarantine.is_quarantined(self.POPULAR)
         assert not any(quarantine.is_quarantined(r) for r in self.others(0, 5))
 
     # Guards against copies of a harmful request that end servers at one moment.
     def test_where_no_other_server_ended_it_explains_the_ends(self):
         quarantine, _ = quarantine_with({})
-        self.lose(quarantine, range(3), without=())
+        self.crash(quarantine, range(3), without=())
         assert quarantine.is_quarantined(self.POPULAR)
 
     def test_where_it_ran_alone_it_explains_the_ends(self):
         quarantine, _ = quarantine_with({})
-        self.lose(quarantine, range(3), beside=0)
+        self.crash(quarantine, range(3), neighbours=0)
         assert quarantine.is_quarantined(self.POPULAR)
 
     def test_ends_one_after_the_other_count_each(self):
         quarantine, clock = quarantine_with({})
         for server in range(MAX_CRASHES):
             clock.now += 1.0
-            self.lose(quarantine, [server])
+            self.crash(quarantine, [server])
         assert quarantine.is_quarantined(self.POPULAR)
 
 
@@ -173,7 +175,9 @@
         quarantine, clock = quarantine_with({POISON: [1, 2, 3]})
         for number in range(100):
             clock.now += 1.0
-            quarantine.record_crash(Fingerprint(f"new-{number}"), life(10 + number))
+            quarantine.record_crash(
+                Fingerprint(f"new-{number}"), incarnation(10 + number)
+            )
         assert len(quarantine) == 8
         assert quarantine.is_quarantined(POISON)
         assert quarantine.is_suspect(Fingerprint("new-99"))
@@ -181,9 +185,9 @@
     def test_dropped_ends_leave_nothing(self):
         quarantine, _ = quarantine_with({POISON: [1, 2]})
         for number in (1, 2, 2, 3):
-            quarantine.remove_crash(POISON, life(number))
+            quarantine.remove_crash(POISON, incarnation(number))
         assert len(quarantine) == 0
-        quarantine.record_crash(NEIGHBOUR, life(1))
+        quarantine.record_crash(NEIGHBOUR, incarnation(1))
         quarantine.clear(NEIGHBOUR)
         assert len(quarantine) == 0
 
@@ -193,25 +197,27 @@
 
     def __init__(self, count):
         self.quarantines = [Quarantine(Clock()) for _ in range(count)]
-        self.news = [CrashGossip(q, self.announce, lambda: 1) for q in self.quarantines]
+        self.gossips = [
+            CrashGossip(q, self.announce, lambda: 1) for q in self.quarantines
+        ]
 
-    def announce(self, marks):
-        for news in self.news:
-            for mark in marks:
-                news.receive(mark)
+    def announce(self, items):
+        for gossip in self.gossips:
+            for item in items:
+                gossip.receive(item)
 
 
 class TestNews:
     def test_all_nodes_know_what_each_has_seen(self):
         fleet = Fleet(4)
-        for number, news in enumerate(fleet.news[:MAX_CRASHES]):
-            news.announce_crash(
+        for number, gossip in enumerate(fleet.gossips[:MAX_CRASHES]):
+            gossip.announce_crash(
                 ServerIncarnation(BackendId("an id: x/1"), number), [POISON]
             )
         assert all(
             quarantine.is_quarantined(POISON) for quarantine in fleet.quarantines
         )
-        fleet.news[0].announce_success(POISON)
+        fleet.gossips[0].announce_success(POISON)
         assert not any(
             quarantine.is_suspect(POISON) for quarantine in fleet.quarantines
         )
@@ -228,37 +234,39 @@
     """Engines that run many requests, and lose them all when one of these ends them."""
 
     ENGINES = 5
-    BESIDE = 12
+    NEIGHBOURS = 12
 
-    def day(self, seed):
+    def simulate(self, seed):
         """Return the engines ended, and the proper requests that were held."""
         draw = random.Random(seed)
         clock = Clock()
         quarantine = Quarantine(clock)
-        waiting = [Fingerprint(f"proper-{number}") for number in range(self.BESIDE)]
-        ended = 0
+        waiting = [Fingerprint(f"proper-{number}") for number in range(self.NEIGHBOURS)]
+        crashes = 0
         refused = set()
-        while ended < 3 * MAX_CRASHES and not quarantine.is_quarantined(POISON):
+        while crashes < 3 * MAX_CRASHES and not quarantine.is_quarantined(POISON):
             clock.now += draw.uniform(0.1, 3.0)
-            place_of = {r: draw.randrange(self.ENGINES) for r in [POISON, *waiting]}
-            broken = place_of[POISON]
-            for request, place in place_of.items():
-                if place == broken:
-                    quarantine.record_crash(request, life(ended))
+            engine_by_request = {
+                r: draw.randrange(self.ENGINES) for r in [POISON, *waiting]
+            }
+            crashed_engine = engine_by_request[POISON]
+            for request, engine in engine_by_request.items():
+                if engine == crashed_engine:
+                    quarantine.record_crash(request, incarnation(crashes))
                 else:
                     quarantine.clear(request)
-            ended += 1
+            crashes += 1
             refused |= {r for r in waiting if quarantine.is_quarantined(r)}
             # Those that were served leave, and others come.
             waiting = [
                 r
-                if place_of[r] == broken
-                else Fingerprint(f"proper-{seed}-{ended}-{n}")
+                if engine_by_request[r] == crashed_engine
+                else Fingerprint(f"proper-{seed}-{crashes}-{n}")
                 for n, r in enumerate(waiting)
             ]
-        return ended, len(refused)
+        return crashes, len(refused)
 
     def test_few_engines_end_and_hardly_a_proper_request_is_held(self):
-        days = [self.day(seed) for seed in range(500)]
-        assert max(ended for ended, _ in days) <= MAX_CRASHES + 1
-        assert sum(refused for _, refused in days) <= len(days) / 20
+        runs = [self.simulate(seed) for seed in range(500)]
+        assert max(crashes for crashes, _ in runs) <= MAX_CRASHES + 1
+        assert sum(refused for _, refused in runs) <= len(runs) / 20
