--- a/packages/node/src/eelgrass_node/process/budget_shares.py
+++ b/packages/node/src/eelgrass_node/process/budget_shares.py
@@ -1,8 +1,8 @@
-"""Among how many nodes a budget of the whole deployment is shared.
+"""Counts the nodes that share a budget of the whole deployment.
 
-The pattern it answers: nodes leave in turn, data centres are cut off from each other,
-and whoever stays in reach of whom takes the share of the others. What those have spent
-counts for a while longer, and they may be spending still.
+When nodes leave in turn, or data centres are cut off from each other, the nodes that
+remain reachable must not take over the shares of the others. What those have spent
+counts for a while longer, and they may still be spending.
 """
 
 import math
@@ -18,12 +18,12 @@
 def count_sharing_nodes(
     settings: HostSettings, own: Member, members: Sequence[Member]
 ) -> int | None:
-    """Return how many nodes share, those out of reach and those that left included.
+    """Return how many nodes share, including unreachable nodes and those that left.
 
-    ``members`` are the records of all other nodes, in whatever state. A data centre
-    that no node is known in counts as many as the others have in the mean: a node that
-    starts in a cut hears of nobody beyond it. One that has heard of no other node, and
-    should have, cannot tell; None stands for that.
+    ``members`` are the records of all other nodes, in any state. A data centre without
+    known nodes is assumed to have the mean number of the others, because a node that
+    starts during a partition learns of no node beyond it. The result is None, that is
+    unknown, if this node has seeds but has not learned of any other node.
     """
     if not members and settings.other_seeds():
         return None
--- a/packages/node/src/eelgrass_node/process/evacuation/__init__.py
+++ b/packages/node/src/eelgrass_node/process/evacuation/__init__.py
@@ -1,10 +1,10 @@
-"""Where work may go: data centres that are emptied by the operator.
+"""Evacuation of data centres by the operator: their servers get no new work.
 
-Used by whatever chooses a server; it decides nothing about which one is best.
+The package decides which servers may get work, not which of them is best.
 """
 
 from .evacuation_gossip import EvacuationGossip
 from .evacuations import Evacuations
 from .manager import EvacuationManager
 
-__all__ = ["EvacuationGossip", "Evacuations", "EvacuationManager"]
+__all__ = ["EvacuationGossip", "EvacuationManager", "Evacuations"]
--- a/packages/node/src/eelgrass_node/process/evacuation/evacuation_gossip.py
+++ b/packages/node/src/eelgrass_node/process/evacuation/evacuation_gossip.py
@@ -1,6 +1,7 @@
-"""Tells other nodes which data centres are being emptied, and hears of it.
+"""Announces evacuated data centres to other nodes, and applies their announcements.
 
-A node that neither reaches the store nor a relay hears of it so, within milliseconds.
+In this way a node that reaches neither the store nor a relay learns of an evacuation
+within milliseconds.
 """
 
 from collections.abc import Callable
@@ -14,13 +15,13 @@
 __all__ = ["EvacuationGossip"]
 
 GOSSIP_KIND = "evacuation"
-# The number of a mark holds the version of the row, and in its last bit whether the row
-# is there.
+# The number of a gossip item contains the version of the row and, in its last bit,
+# whether the row exists.
 STATES = 2
 
 
 class EvacuationGossip:
-    """News between the nodes; ``announce`` tells of a mark."""
+    """Evacuation gossip of one node; ``announce`` spreads a gossip item."""
 
     def __init__(
         self, evacuations: Evacuations, announce: Callable[[GossipItem], object]
@@ -31,18 +32,23 @@
     def announce(
         self, data_centre: DataCentre, version: int, is_evacuated: bool
     ) -> None:
-        """Tell other nodes what was read of a data centre."""
+        """Announce the state of a data centre that was read from the store."""
         number = version * STATES + int(is_evacuated)
         self._announce(GossipItem(GOSSIP_KIND, data_centre, number))
 
-    def receive(self, mark: GossipItem) -> None:
-        """Take in what another node tells; marks of other kinds are nothing here."""
-        if mark.kind != GOSSIP_KIND:
+    def receive(self, item: GossipItem) -> None:
+        """Apply a gossip item from another node; other kinds are ignored."""
+        if item.kind != GOSSIP_KIND:
             return
-        if not mark.name or mark.number < 0:
-            log(Part.HOSTS, "A mark is not taken.", name=mark.name, number=mark.number)
+        if not item.name or item.number < 0:
+            log(
+                Part.HOSTS,
+                "A gossip item is invalid.",
+                name=item.name,
+                number=item.number,
+            )
             return
-        version, is_evacuated = divmod(mark.number, STATES)
+        version, is_evacuated = divmod(item.number, STATES)
         self._evacuations.apply_gossip(
-            DataCentre(mark.name), version, bool(is_evacuated)
+            DataCentre(item.name), version, bool(is_evacuated)
         )
--- a/packages/node/src/eelgrass_node/process/evacuation/manager.py
+++ b/packages/node/src/eelgrass_node/process/evacuation/manager.py
@@ -1,4 +1,4 @@
-"""The places of a node's servers, put together: what is emptied, and who is told."""
+"""Applies evacuations to a node's servers, and announces them to other nodes."""
 
 from collections.abc import Callable
 
@@ -14,11 +14,10 @@
 
 
 class EvacuationManager:
-    """Keeps ``backends`` in line with the data centres that are being emptied.
+    """Keeps ``backends`` in sync with the evacuated data centres.
 
-    ``prefix`` begins the keys of the operator's rows, ``complete_to`` and
-    ``store_reachable`` tell how far and whether they can be read, and ``announce``
-    tells other nodes of a mark.
+    ``prefix``, ``complete_to`` and ``store_reachable`` are those of
+    :class:`Evacuations`, and ``announce`` spreads a gossip item.
     """
 
     def __init__(
@@ -37,7 +36,7 @@
         self.gossip = EvacuationGossip(self.evacuations, announce)
         self.evacuations.on_read = self.gossip.announce
         self.evacuations.on_begin = lambda data_centre: backends.notify_all()
-        self.evacuations.on_end = self._use_again
+        self.evacuations.on_end = self._on_evacuation_end
         backends.is_evacuated = self.evacuations.is_evacuated
 
     def in_flight(self, data_centre: DataCentre) -> int:
@@ -45,8 +44,8 @@
         servers = self._backends.in_data_centre(data_centre)
         return sum(server.in_flight for server in servers)
 
-    def _use_again(self, data_centre: DataCentre) -> None:
-        """Use a data centre again; its servers may have become cold meanwhile."""
+    def _on_evacuation_end(self, data_centre: DataCentre) -> None:
+        """Use a data centre again; its servers may have become cold since."""
         for server in self._backends.in_data_centre(data_centre):
             server.mark_cold(self._warm_up_s(server.entry.service))
         self._backends.notify_all()
--- a/packages/node/src/eelgrass_node/process/retry_budget.py
+++ b/packages/node/src/eelgrass_node/process/retry_budget.py
@@ -1,18 +1,19 @@
 """Retry budgets that all nodes share, by service.
 
 In any window, the retries of all nodes may make up a ratio of the requests plus a
-slack. A node takes the ratio of its own requests and its share of the slack
-(:mod:`.budget_shares`), so that the sum over the nodes keeps the limit without a
-word between them.
+slack. Each node uses the ratio of its own requests and its share of the slack
+(:mod:`.budget_shares`), so that the sum over the nodes keeps the limit without
+coordination.
 
 Each process has a token bucket for each service. Its capacity is a part of what a
 window allows; the rest accrues with requests and with time. In any window a process
-therefore spends at most that part of what the window before it allows, and the rest of
-what that window itself does. A bucket starts empty, so that the sum stays the same when
-a process stands in the place of another one, or gets its requests.
+therefore spends at most that part of the previous window's allowance, and the rest of
+the window's own allowance. A bucket starts empty, so that the sum stays the same when a
+process replaces another one, or takes over its requests.
 
-Many nodes share less than one retry each. A bucket whose capacity is less than one
-token is drawn on by chance: its tokens are the probability of a retry.
+In a large deployment the share of a node may be less than one retry. A bucket whose
+capacity is less than one token grants retries at random: its tokens are the
+probability of a retry.
 """
 
 import random
@@ -23,23 +24,23 @@
 
 __all__ = ["RetryBudgets"]
 
-# The part of the allowance that is used. A retry counts when it arrives, which is
-# later than it is counted here.
+# The part of the allowance that is used. The limit counts a retry when it arrives,
+# which is later than it is counted here.
 USED_FRACTION = 0.9
-# The parts of the slack and of the ratio that can be saved up for failures that come at
-# once; the rest is for those that go on.
+# The parts of the slack and of the ratio that can be saved up for bursts of failures;
+# the rest is for failures that persist.
 SAVED_SLACK_FRACTION = 0.5
 SAVED_RATIO_FRACTION = 0.25
-# Of what is drawn by chance this much is used, so that luck at many nodes at once does
-# not pass the limit.
+# Reduces the probability of random grants, so that many nodes that grant at the same
+# time do not exceed the limit.
 DRAWN_FRACTION = 0.6
 
 
 class RetryBudgets:
     """The budgets of one process; times are of ``clock``, in seconds.
 
-    ``sharing_nodes`` is among how many nodes the slack is shared, None while that is
-    not known: then none of it is used. ``draw`` returns a random number from 0 to 1.
+    ``sharing_nodes`` is the number of nodes that share the slack. While it is None
+    (unknown), no slack is used. ``draw`` returns a random number from 0 to 1.
     """
 
     def __init__(
@@ -60,20 +61,20 @@
         self.sharing_nodes: int | None = None
 
     def record_requests(self, service: str, count: int = 1) -> None:
-        """Count requests for a service, or pieces for one that runs stages."""
+        """Count requests for a service, or batch items for one that runs stages."""
         now = self._clock()
         bucket = self._refilled(service, now)
         bucket.record_requests(now, count)
         bucket.tokens += (1 - SAVED_RATIO_FRACTION) * self._ratio * count
 
     def try_spend(self, service: str, request_id: str) -> bool:
-        """Take a token for a retry; returns whether there was one."""
+        """Take a token for a retry; return whether there was one."""
         bucket = self._refilled(service, self._clock())
         tokens = bucket.tokens
         granted = self._take_token(bucket)
         log(
             Part.REQUESTS,
-            "A retry is allowed." if granted else "The retry budget is spent.",
+            "A retry is allowed." if granted else "The retry budget is exhausted.",
             id=request_id,
             service=service,
             requests=bucket.requested,
@@ -94,7 +95,7 @@
         return granted
 
     def _refilled(self, service: str, now: float) -> "_Bucket":
-        """Return the bucket of a service with the tokens that it has now."""
+        """Return the bucket of a service, refilled up to ``now``."""
         bucket = self._bucket_by_service.get(service)
         if bucket is None:
             bucket = self._bucket_by_service[service] = _Bucket(self._started_at)
@@ -117,7 +118,7 @@
 class _Bucket:
     """The tokens of one service, and how much was ``requested`` in the last window.
 
-    ``refilled_at`` is the time to which tokens have accrued with time.
+    ``refilled_at`` is the time up to which the tokens that accrue with time were added.
     """
 
     def __init__(self, filled_since: float) -> None:
@@ -127,11 +128,11 @@
         self._counts: deque[tuple[float, int]] = deque()
 
     def record_requests(self, now: float, count: int) -> None:
-        """Count requests that come now."""
+        """Count requests that arrive now."""
         self._counts.append((now, count))
         self.requested += count
 
     def forget_before(self, time: float) -> None:
-        """Forget the requests before a time."""
+        """Drop the requests that arrived before a time."""
         while self._counts and self._counts[0][0] < time:
             self.requested -= self._counts.popleft()[1]
--- a/packages/node/src/eelgrass_node/process/warm_up/__init__.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/__init__.py
@@ -1,8 +1,7 @@
-"""Cold servers: how much new work they get until they are warm.
+"""Limits the rate of new requests to cold servers until they are warm.
 
-A server that has just started bears few new requests a second, and ends under many
-more. The bound holds for all nodes together. Used by whatever sends requests to
-servers.
+A server that has just started can take only few new requests per second, and crashes
+under many more. The limit applies to all nodes together.
 """
 
 from .admission import WarmUpAdmission
@@ -11,8 +10,8 @@
 from .warm_up import WarmUp
 
 __all__ = [
-    "RateLimiter",
     "Permit",
+    "RateLimiter",
     "WarmUp",
     "WarmUpAdmission",
     "WarmUpBounds",
--- a/packages/node/src/eelgrass_node/process/warm_up/admission.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/admission.py
@@ -1,4 +1,4 @@
-"""Asks whether a request may go to a server, which may be cold."""
+"""Decides whether a request may be sent to a server that may be cold."""
 
 from collections.abc import Awaitable, Callable
 
@@ -12,8 +12,9 @@
 
 __all__ = ["WarmUpAdmission"]
 
-# Permits that come later than this may arrive in the same second as many after them.
-FRESH_S = 0.3
+# A permit that takes longer than this is not used: its request could arrive in the same
+# second as those of many later permits.
+MAX_PERMIT_AGE_S = 0.3
 
 AskOwner = Callable[[Member, ServerIncarnation, str], Awaitable[Permit]]
 
@@ -21,10 +22,10 @@
 
 
 class WarmUpAdmission:
-    """Asks the owners of permits, which may be this node itself.
+    """Requests permits from their owners, which may be this node itself.
 
-    ``ask_owner`` asks another node for a permit for a server of a service; it raises
-    :class:`PeerUnreachable`. ``clock`` returns seconds.
+    ``ask_owner`` requests a permit for a server of a service from another node; it
+    raises :class:`PeerUnreachable`. ``clock`` returns seconds.
     """
 
     def __init__(
@@ -42,13 +43,13 @@
         self._count = count
 
     def is_bounded(self, server: Backend) -> bool:
-        """Return whether a server is cold and gets only so much until it is warm."""
+        """Return whether a server is cold and the rate of its requests is limited."""
         if not server.is_cold(self._clock()):
             return False
         return self._rates.is_bounded(server.entry.service)
 
     async def admit(self, server: Backend) -> Permit:
-        """Return a permit for one request to a server that was chosen."""
+        """Return a permit for one request to a chosen server."""
         if not self.is_bounded(server):
             return GRANTED
         permit = await self._ask(server.entry.incarnation, server.entry.service)
@@ -67,12 +68,12 @@
         except PeerUnreachable as error:
             log(
                 Part.HOSTS,
-                "No permit for a cold server.",
+                "No permit for a cold server: its owner is unreachable.",
                 backend=incarnation.id,
                 owner=owner.id,
                 error=str(error),
             )
             return Permit(False, RETRY_AFTER_S)
-        if self._clock() - asked_at > FRESH_S:
+        if self._clock() - asked_at > MAX_PERMIT_AGE_S:
             return Permit(False)
         return permit
--- a/packages/node/src/eelgrass_node/process/warm_up/permits.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/permits.py
@@ -1,12 +1,13 @@
-"""Permits for requests to cold servers, handed out by one node for each server.
+"""Permits for requests to cold servers, issued by one node for each server.
 
-The pattern it answers: 65 nodes see a few requests a second each, and a cold engine
-bears nine a second over all of them. A share by the number of nodes is less than one
-request in three seconds for each, and whole requests cannot be shared so. One node,
-found by hashing over the members, therefore counts for all.
+With 65 nodes, each sees a few requests per second, and a cold engine can take nine per
+second over all of them. An equal share for each node would be less than one request in
+three seconds, and a request cannot be divided. One node, selected by hashing over the
+members, therefore counts for all.
 
-Members that are out of reach keep their place in the hash: a cut must not make owners
-on both of its sides. What they own gets nothing until it is warm, a few seconds later.
+Unreachable members keep their place in the hash, because a partition must not create
+owners on both of its sides. The servers that they own get no requests until they are
+warm, a few seconds later.
 """
 
 from collections.abc import Callable, Sequence
@@ -21,17 +22,17 @@
 
 __all__ = ["Permit", "WarmUpPermits", "owner_of"]
 
-# A node that has just started does not know the others yet, and not what the owner
-# before it has let go.
+# A node that has just started does not know the other nodes yet, nor the permits that
+# the previous owner has issued.
 SETTLE_S = 2.5
-# Permits are asked for again after this where nothing better is known.
+# When to request a permit again if the time of the next one is unknown.
 RETRY_AFTER_S = 0.5
-# Servers whose pace is remembered; a pace matters for a second.
-MAX_PACES = 1024
+# Rate limiters that are kept; a rate limiter matters for a second.
+MAX_LIMITERS = 1024
 
 
 class Permit(msgspec.Struct, frozen=True):
-    """Whether a request may go to a cold server; if not, after how many seconds."""
+    """Whether a request may go to a cold server; if not, ask again ``after_s``."""
 
     granted: bool
     after_s: float = 0.0
@@ -40,19 +41,19 @@
 def owner_of(
     incarnation: ServerIncarnation, own: Member, members: Sequence[Member]
 ) -> Member:
-    """Return the node that hands out the permits of a server."""
+    """Return the node that issues the permits of a server."""
     staying = [m for m in members if m.state is not MemberState.LEFT]
     key = f"warm-up/{incarnation.id}"
     return ranked([*staying, own], key, name=lambda member: member.id)[0]
 
 
 class WarmUpPermits:
-    """The permits that one node hands out, for the servers that it owns.
+    """The permits that one node issues for the servers that it owns.
 
-    ``own`` and ``members`` return its own record and all others, also of nodes that are
-    out of reach. ``seeds`` are the other nodes that its settings name: one that has
-    heard of no other node, and should have, hands out none. ``rates`` are those of its
-    own configuration, whatever the asking node believes.
+    ``own`` and ``members`` return the node's own record and those of all others,
+    including unreachable nodes. ``seeds`` are the other nodes that its settings name: a
+    node with seeds that has not learned of any other node issues no permits. ``rates``
+    are those of its own configuration, whatever the requesting node's are.
     """
 
     def __init__(
@@ -69,10 +70,10 @@
         self._rates = rates
         self._clock = clock
         self._settled_at = clock() + SETTLE_S
-        self._pace_by_life: dict[ServerIncarnation, RateLimiter] = {}
+        self._limiter_by_incarnation: dict[ServerIncarnation, RateLimiter] = {}
 
     def owner(self, incarnation: ServerIncarnation) -> Member:
-        """Return the node that hands out the permits of a server."""
+        """Return the node that issues the permits of a server."""
         return owner_of(incarnation, self._own(), self._members())
 
     def is_own(self, node: NodeId) -> bool:
@@ -80,25 +81,29 @@
         return node == self._own().id
 
     def issue(self, incarnation: ServerIncarnation, service: str) -> Permit:
-        """Hand out a permit for one request to a cold server of a service."""
+        """Return a permit for one request to a cold server, granted or refused."""
         now = self._clock()
         per_s = self._rates.permitted_per_s(service)
-        if per_s <= 0 or now < self._settled_at or self._is_alone():
+        if per_s <= 0 or now < self._settled_at or self._is_isolated():
             return Permit(False, RETRY_AFTER_S)
         if not self.is_own(self.owner(incarnation).id):
             return Permit(False, RETRY_AFTER_S)
-        after_s = self._pace(incarnation, per_s, now).acquire(now)
+        after_s = self._limiter(incarnation, per_s, now).acquire(now)
         return Permit(after_s == 0.0, after_s)
 
-    def _is_alone(self) -> bool:
+    def _is_isolated(self) -> bool:
         return bool(self._seeds) and not self._members()
 
-    def _pace(
+    def _limiter(
         self, incarnation: ServerIncarnation, per_s: float, now: float
     ) -> RateLimiter:
-        pace = self._pace_by_life.get(incarnation)
-        if pace is None:
-            if len(self._pace_by_life) >= MAX_PACES:
-                del self._pace_by_life[next(iter(self._pace_by_life))]
-            pace = self._pace_by_life[incarnation] = RateLimiter(per_s, now)
-        return pace
+        limiter = self._limiter_by_incarnation.get(incarnation)
+        if limiter is None:
+            if len(self._limiter_by_incarnation) >= MAX_LIMITERS:
+                del self._limiter_by_incarnation[
+                    next(iter(self._limiter_by_incarnation))
+                ]
+            limiter = self._limiter_by_incarnation[incarnation] = RateLimiter(
+                per_s, now
+            )
+        return limiter
--- a/packages/node/src/eelgrass_node/process/warm_up/warm_up.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/warm_up.py
@@ -1,4 +1,4 @@
-"""What one node does about cold servers, put together."""
+"""Combines the permits and the admission of requests for cold servers on one node."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 class WarmUp:
-    """The permits that a node hands out, and how it asks for them.
+    """The permits that a node issues, and those that it requests.
 
     ``other_seeds`` are the nodes that its settings name besides itself.
     """
--- a/packages/node/tests/test_evacuations.py
+++ b/packages/node/tests/test_evacuations.py
@@ -23,7 +23,7 @@
 SOUTH = DataCentre("south")
 
 
-class Place:
+class NodeState:
     """Evacuations of one node, with what it knows of the store by hand."""
 
     def __init__(self):
@@ -37,132 +37,132 @@
             lambda: self.reachable,
             lambda: self.clock.now,
         )
-        self.evacuations.on_begin = lambda place: self.seen.append((place, True))
-        self.evacuations.on_end = lambda place: self.seen.append((place, False))
+        self.evacuations.on_begin = lambda dc: self.seen.append((dc, True))
+        self.evacuations.on_end = lambda dc: self.seen.append((dc, False))
 
-    def read(self, version, value=b"{}", place=NORTH):
+    def read(self, version, value=b"{}", data_centre=NORTH):
         self.complete_to = max(self.complete_to, version)
-        self.evacuations.apply_rows([StoredRow(PREFIX + place, version, value)])
+        self.evacuations.apply_rows([StoredRow(PREFIX + data_centre, version, value)])
 
-    def is_evacuated(self, place=NORTH):
-        return self.evacuations.is_evacuated(place)
+    def is_evacuated(self, data_centre=NORTH):
+        return self.evacuations.is_evacuated(data_centre)
 
 
 @pytest.fixture
-async def place():
-    return Place()
+async def node():
+    return NodeState()
 
 
 class TestReadRows:
-    async def test_a_row_empties_and_its_removal_ends_it(self, place):
-        place.read(5)
-        assert place.is_evacuated()
-        place.read(7, value=None)
-        assert place.seen == [(NORTH, True), (NORTH, False)]
+    async def test_a_row_empties_and_its_removal_ends_it(self, node):
+        node.read(5)
+        assert node.is_evacuated()
+        node.read(7, value=None)
+        assert node.seen == [(NORTH, True), (NORTH, False)]
 
     # Guards against stale news that reverts an evacuation, or begins one anew.
-    async def test_an_older_row_changes_nothing(self, place):
-        place.read(7)
-        place.read(5, value=None)
-        assert place.is_evacuated()
-        place.read(9, value=None)
-        place.read(7)
-        assert not place.is_evacuated()
-
-    async def test_the_same_row_twice_is_one_evacuation(self, place):
-        place.read(5)
-        place.read(5)
-        assert place.seen == [(NORTH, True)]
+    async def test_an_older_row_changes_nothing(self, node):
+        node.read(7)
+        node.read(5, value=None)
+        assert node.is_evacuated()
+        node.read(9, value=None)
+        node.read(7)
+        assert not node.is_evacuated()
+
+    async def test_the_same_row_twice_is_one_evacuation(self, node):
+        node.read(5)
+        node.read(5)
+        assert node.seen == [(NORTH, True)]
 
     # Guards against an end that is missed while the store forgets its history.
-    async def test_a_whole_read_without_the_row_ends_it(self, place):
-        place.read(5)
-        place.read(6, place=SOUTH)
-        place.complete_to = 9
-        place.evacuations.apply_snapshot({"config", PREFIX + SOUTH})
-        assert not place.is_evacuated()
-        assert place.is_evacuated(SOUTH)
-
-    async def test_rows_of_other_kinds_are_left_alone(self, place):
+    async def test_a_whole_read_without_the_row_ends_it(self, node):
+        node.read(5)
+        node.read(6, data_centre=SOUTH)
+        node.complete_to = 9
+        node.evacuations.apply_snapshot({"config", PREFIX + SOUTH})
+        assert not node.is_evacuated()
+        assert node.is_evacuated(SOUTH)
+
+    async def test_rows_of_other_kinds_are_left_alone(self, node):
         rows = [StoredRow(key, 5, b"{}") for key in ("config", PREFIX, "evacuated/x")]
-        place.evacuations.apply_rows(rows)
-        assert not place.evacuations.since_by_data_centre
+        node.evacuations.apply_rows(rows)
+        assert not node.evacuations.since_by_data_centre
 
     # Guards against a value that nobody can read and that hides the operator's wish.
-    async def test_a_value_that_cannot_be_read_empties_all_the_same(self, place):
-        place.read(5, value=b"\xff not json")
-        assert place.is_evacuated()
+    async def test_a_value_that_cannot_be_read_empties_all_the_same(self, node):
+        node.read(5, value=b"\xff not json")
+        assert node.is_evacuated()
 
 
 class TestToldWords:
-    async def test_what_others_tell_holds_before_the_store_says_so(self, place):
-        place.evacuations.apply_gossip(NORTH, 5, True)
-        assert place.is_evacuated()
+    async def test_what_others_tell_holds_before_the_store_says_so(self, node):
+        node.evacuations.apply_gossip(NORTH, 5, True)
+        assert node.is_evacuated()
 
-    async def test_it_holds_for_as_long_as_the_store_is_out_of_reach(self, place):
-        place.reachable = False
-        place.evacuations.apply_gossip(NORTH, 5, True)
-        place.clock.now += 100 * GOSSIP_VALID_S
-        place.evacuations.apply_snapshot(set())
-        assert place.is_evacuated()
+    async def test_it_holds_for_as_long_as_the_store_is_out_of_reach(self, node):
+        node.reachable = False
+        node.evacuations.apply_gossip(NORTH, 5, True)
+        node.clock.now += 100 * GOSSIP_VALID_S
+        node.evacuations.apply_snapshot(set())
+        assert node.is_evacuated()
 
     # Guards against a faulty node that shuts a data centre for good.
     def test_it_lapses_where_the_store_does_not_say_so(self):
         async def main():
             loop = asyncio.get_running_loop()
-            place = Place()
-            place.evacuations._clock = loop.time
-            place.evacuations.apply_gossip(NORTH, 10**12, True)
-            assert place.is_evacuated()
+            node = NodeState()
+            node.evacuations._clock = loop.time
+            node.evacuations.apply_gossip(NORTH, 10**12, True)
+            assert node.is_evacuated()
             await asyncio.sleep(GOSSIP_VALID_S + 0.1)
-            assert not place.is_evacuated()
+            assert not node.is_evacuated()
 
         run_in_simulated_time(main())
 
-    async def test_it_yields_to_a_newer_row(self, place):
-        place.evacuations.apply_gossip(NORTH, 5, True)
-        place.read(6, value=None)
-        assert not place.is_evacuated()
-
-    async def test_older_words_change_nothing(self, place):
-        place.read(8)
-        place.evacuations.apply_gossip(NORTH, 6, False)
-        assert place.is_evacuated()
-
-    async def test_a_mark_that_makes_no_sense_is_left_alone(self, place):
-        news = EvacuationGossip(place.evacuations, lambda mark: None)
-        news.receive(GossipItem("evacuation", "", 5))
-        news.receive(GossipItem("evacuation", NORTH, -3))
-        news.receive(GossipItem("failing", NORTH, 11))
-        assert not place.evacuations.since_by_data_centre
-
-    async def test_what_one_node_tells_another_hears(self, place):
-        marks = []
-        news = EvacuationGossip(place.evacuations, marks.append)
-        other = Place()
-        hearing = EvacuationGossip(other.evacuations, marks.append)
-        news.announce(NORTH, 5, True)
-        hearing.receive(marks[-1])
+    async def test_it_yields_to_a_newer_row(self, node):
+        node.evacuations.apply_gossip(NORTH, 5, True)
+        node.read(6, value=None)
+        assert not node.is_evacuated()
+
+    async def test_older_words_change_nothing(self, node):
+        node.read(8)
+        node.evacuations.apply_gossip(NORTH, 6, False)
+        assert node.is_evacuated()
+
+    async def test_a_mark_that_makes_no_sense_is_left_alone(self, node):
+        receiver = EvacuationGossip(node.evacuations, lambda item: None)
+        receiver.receive(GossipItem("evacuation", "", 5))
+        receiver.receive(GossipItem("evacuation", NORTH, -3))
+        receiver.receive(GossipItem("failing", NORTH, 11))
+        assert not node.evacuations.since_by_data_centre
+
+    async def test_what_one_node_tells_another_hears(self, node):
+        items = []
+        sender = EvacuationGossip(node.evacuations, items.append)
+        other = NodeState()
+        receiver = EvacuationGossip(other.evacuations, items.append)
+        sender.announce(NORTH, 5, True)
+        receiver.receive(items[-1])
         assert other.is_evacuated()
-        news.announce(NORTH, 6, False)
-        hearing.receive(marks[-1])
+        sender.announce(NORTH, 6, False)
+        receiver.receive(items[-1])
         assert not other.is_evacuated()
 
 
 class TestAnyOrder:
     # Guards against news that is lost, late, doubled or out of order.
     @pytest.mark.parametrize("seed", range(40))
-    async def test_the_newest_version_holds(self, place, seed):
+    async def test_the_newest_version_holds(self, node, seed):
         draw = random.Random(seed)
-        words = [(version, draw.random() < 0.5) for version in range(1, 12)]
-        news = draw.choices(words, k=30)
-        for version, is_evacuated in news:
+        states = [(version, draw.random() < 0.5) for version in range(1, 12)]
+        updates = draw.choices(states, k=30)
+        for version, is_evacuated in updates:
             if draw.random() < 0.5:
-                place.evacuations.apply_gossip(NORTH, version, is_evacuated)
+                node.evacuations.apply_gossip(NORTH, version, is_evacuated)
             else:
-                place.read(version, value=b"{}" if is_evacuated else None)
-        newest = max(version for version, _ in news)
-        assert place.is_evacuated() == dict(words)[newest]
+                node.read(version, value=b"{}" if is_evacuated else None)
+        newest = max(version for version, _ in updates)
+        assert node.is_evacuated() == dict(states)[newest]
 
 
 def listed(name, data_centre):
@@ -172,38 +172,38 @@
 
 
 class TestServersOfThePlace:
-    async def places(self):
+    async def new_manager(self):
         backends = Backends()
         backends.update([listed("n1", "north"), listed("s1", "south")])
-        places = EvacuationManager(
+        manager = EvacuationManager(
             backends,
             PREFIX,
             lambda: 9,
             lambda: True,
             lambda: None,
-            lambda mark: None,
+            lambda item: None,
             asyncio.get_running_loop().time,
         )
-        return backends, places
+        return backends, manager
 
     async def test_they_get_no_new_work_until_it_ends(self):
-        backends, places = await self.places()
-        places.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
+        backends, manager = await self.new_manager()
+        manager.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
         assert [s.entry.id for s in backends.usable("readers")] == ["s1"]
-        places.evacuations.apply_rows([StoredRow(PREFIX + "north", 6, None)])
+        manager.evacuations.apply_rows([StoredRow(PREFIX + "north", 6, None)])
         assert len(backends.usable("readers")) == 2
 
     async def test_one_that_comes_meanwhile_gets_none_either(self):
-        backends, places = await self.places()
-        places.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
+        backends, manager = await self.new_manager()
+        manager.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
         backends.update([listed("n1", "north"), listed("n2", "north")])
         assert backends.usable("readers") == []
 
     # Guards against a rush on servers that became cold while they were empty.
     async def test_they_are_taken_for_cold_when_it_ends(self):
-        backends, places = await self.places()
-        places.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
-        places.evacuations.apply_rows([StoredRow(PREFIX + "north", 6, None)])
+        backends, manager = await self.new_manager()
+        manager.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
+        manager.evacuations.apply_rows([StoredRow(PREFIX + "north", 6, None)])
         now = asyncio.get_running_loop().time()
         assert backends.by_id[BackendId("n1")].is_cold(now)
         assert not backends.by_id[BackendId("s1")].is_cold(now)
--- a/packages/node/tests/test_reachability_checks.py
+++ b/packages/node/tests/test_reachability_checks.py
@@ -32,14 +32,14 @@
         if to.data_centre not in self.cut:
             asyncio.get_running_loop().call_soon(self.checks.record_ack, to)
 
-    def doubted(self):
+    def suspected(self):
         return {dc for dc in NODES if self.reach.is_suspected(dc)}
 
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(reachability_checks, "ANSWER_S", 0.02)
-    monkeypatch.setattr(reachability_checks, "AGAIN_S", 0.03)
+    monkeypatch.setattr(reachability_checks, "PROBE_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(reachability_checks, "PROBE_INTERVAL_S", 0.03)
 
 
 class TestReachChecks:
@@ -47,8 +47,8 @@
         network = Network()
         network.reach.record_timeout("b", "server")
         await asyncio.sleep(0.1)
-        assert network.doubted() == set()
-        assert len(network.probed) <= reachability_checks.MOST_PROBED
+        assert network.suspected() == set()
+        assert len(network.probed) <= reachability_checks.MAX_PROBED
 
     async def test_one_silent_call_is_enough_where_no_node_answers(self):
         """Each call that found out for itself took up to a second and a try."""
@@ -56,14 +56,14 @@
         network.cut = {"b"}
         network.reach.record_timeout("b", "server")
         await asyncio.sleep(0.03)
-        assert network.doubted() == {"b"}
+        assert network.suspected() == {"b"}
 
     async def test_a_node_that_is_cut_off_itself_doubts_all_others(self):
         network = Network()
         network.cut = {"b", "c", "d"}
         network.reach.record_timeout("b", "server")
         await asyncio.sleep(0.05)
-        assert network.doubted() >= {"b", "c"}
+        assert network.suspected() >= {"b", "c"}
 
     async def test_the_doubt_lasts_until_a_node_answers(self):
         """A doubt that ended by its time cost the same silent calls again."""
@@ -72,10 +72,10 @@
         network.reach.record_timeout("b", "server")
         for _ in range(20):
             await asyncio.sleep(0.03)
-            assert network.doubted() == {"b"}
+            assert network.suspected() == {"b"}
         network.cut = set()
         await asyncio.sleep(0.07)
-        assert network.doubted() == set()
+        assert network.suspected() == set()
         probed = len(network.probed)
         await asyncio.sleep(0.1)
         assert len(network.probed) == probed
@@ -86,9 +86,9 @@
         network.cut = {"d"}
         network.reach.record_timeout("d", "server")
         await asyncio.sleep(0.1)
-        assert network.doubted() == set()
+        assert network.suspected() == set()
         network.reach.record_timeout("d", "another")
-        assert network.doubted() == {"d"}
+        assert network.suspected() == {"d"}
         assert FIRST_SUSPICION_S < 2.0
 
     async def test_servers_are_tried_again_where_the_nodes_stay_away(self, monkeypatch):
@@ -98,7 +98,7 @@
         network.cut = {"b"}
         network.reach.record_timeout("b", "server")
         await asyncio.sleep(0.4)
-        assert network.doubted() == set()
+        assert network.suspected() == set()
 
     async def test_the_own_data_centre_is_not_checked(self):
         network = Network()
--- a/packages/node/tests/test_retry_budgets.py
+++ b/packages/node/tests/test_retry_budgets.py
@@ -70,19 +70,19 @@
 
     def fleet(self, hosts=HOSTS, requests_per_s=40.0, **options):
         fleet = RetryFleet(hosts, requests_per_s, **options)
-        fleet.play(2 * WINDOW_S, failing=False)
+        fleet.run(2 * WINDOW_S, failing=False)
         return fleet
 
     # Guards against a new process that spends what the one before it has spent.
     @pytest.mark.parametrize("requests_per_s", [4.0, 40.0, 400.0])
     def test_hosts_restarted_at_once_while_servers_fail(self, requests_per_s):
         fleet = self.fleet(requests_per_s=requests_per_s)
-        fleet.play(1.0, failing=True)
+        fleet.run(1.0, failing=True)
         for _ in range(3):
             for host in range(HOSTS):
                 fleet.restart(host)
-            fleet.play(2.0, failing=True)
-        fleet.play(2 * WINDOW_S, failing=True)
+            fleet.run(2.0, failing=True)
+        fleet.run(2 * WINDOW_S, failing=True)
         assert fleet.excess() <= 0
 
     # Guards against a budget that is spent once more where its requests go next.
@@ -90,7 +90,7 @@
     def test_requests_that_move_from_host_to_host(self, requests_per_s):
         fleet = self.fleet(requests_per_s=requests_per_s)
         for host in range(HOSTS):
-            fleet.play(1.0, failing=True, only=host)
+            fleet.run(1.0, failing=True, only=host)
         assert fleet.excess() <= 0
 
     # Guards against both with any restarts and any times at which servers fail.
@@ -107,12 +107,12 @@
             for host in range(hosts):
                 if draw.random() < 0.1:
                     fleet.restart(host, down_s=draw.choice([0.0, 1.0, 4.0]))
-            fleet.play(draw.uniform(0.1, 1.5), failing=draw.random() < 0.4)
+            fleet.run(draw.uniform(0.1, 1.5), failing=draw.random() < 0.4)
         assert fleet.excess() <= 0
 
     def test_without_restarts_most_of_the_budget_is_used(self):
         fleet = self.fleet()
-        fleet.play(2 * WINDOW_S, failing=True)
+        fleet.run(2 * WINDOW_S, failing=True)
         allowed = 0.2 * 40.0 * WINDOW_S + 56.0
         assert -0.25 * allowed <= fleet.excess() <= 0
 
@@ -121,7 +121,7 @@
     def test_nodes_that_share_less_than_one_repeat_each(self, hosts):
         """A service that each node sees a request for in ten seconds."""
         fleet = self.fleet(hosts=hosts, requests_per_s=hosts / 10)
-        fleet.play(WINDOW_S, failing=True)
+        fleet.run(WINDOW_S, failing=True)
         allowed = 0.2 * hosts + 56.0
         assert fleet.excess() <= 0
-        assert fleet.repeats >= 0.4 * allowed
+        assert fleet.retries >= 0.4 * allowed
--- a/packages/node/tests/test_server_lives.py
+++ b/packages/node/tests/test_server_lives.py
@@ -23,7 +23,7 @@
 FIRST, SECOND = (ServerIncarnation(BackendId("s1"), started) for started in (5, 9))
 
 
-class Lives:
+class RestartingServer:
     """Makes results whose handles repeat in each life of one server."""
 
     def __init__(self):
@@ -32,12 +32,14 @@
         self.freed = []
 
     async def run(self, service, given):
-        life = self.current
-        self.made.append((service, given[0].stage, life, given[0].inputs))
-        return [ItemOutcome(handle=f"s1/{p.number}", producer=life) for p in given]
+        incarnation = self.current
+        self.made.append((service, given[0].stage, incarnation, given[0].inputs))
+        return [
+            ItemOutcome(handle=f"s1/{p.number}", producer=incarnation) for p in given
+        ]
 
-    def has_ended(self, life):
-        return life.started < self.current.started
+    def has_ended(self, incarnation):
+        return incarnation.started < self.current.started
 
     def graph(self):
         stages = (
@@ -58,41 +60,43 @@
 
 class TestResults:
     async def test_results_of_a_life_that_ended_are_made_again(self):
-        lives = Lives()
-        graph = lives.graph()
-        first_run = lives.run
+        server_state = RestartingServer()
+        graph = server_state.graph()
+        first_run = server_state.run
 
         async def restart_after_first_stage(service, given):
             outcomes = await first_run(service, given)
-            if len(lives.made) == 1:
-                lives.current = SECOND
+            if len(server_state.made) == 1:
+                server_state.current = SECOND
             return outcomes
 
         graph._run_items = restart_after_first_stage
         assert await graph.run() == ("s1/0",)
-        assert [(service, life) for service, _, life, _ in lives.made] == [
+        assert [
+            (service, incarnation) for service, _, incarnation, _ in server_state.made
+        ] == [
             ("a", FIRST),
             ("a", SECOND),
             ("b", SECOND),
         ]
 
     async def test_they_are_not_freed_where_the_next_life_may_hold_others(self):
-        lives = Lives()
-        graph = lives.graph()
+        server_state = RestartingServer()
+        graph = server_state.graph()
         await graph.run()
-        freed_before = list(lives.freed)
-        lives.current = SECOND
+        freed_before = list(server_state.freed)
+        server_state.current = SECOND
         assert graph.has_lost_results()
         graph.release()
-        assert lives.freed == freed_before
+        assert server_state.freed == freed_before
 
     async def test_those_of_the_current_life_are_freed(self):
-        lives = Lives()
-        graph = lives.graph()
+        server_state = RestartingServer()
+        graph = server_state.graph()
         await graph.run()
         assert not graph.has_lost_results()
         graph.release()
-        assert "s1/0" in lives.freed
+        assert "s1/0" in server_state.freed
 
 
 class TestQueue:
@@ -122,8 +126,10 @@
         assert held > 0 and use.held_bytes(0.0) == 0 and use.calls == 0
 
 
-def entry(life, address="127.0.0.1:1"):
-    return HostEntry(life.id, "portal", address, DataCentre("a"), started=life.started)
+def entry(incarnation, address="127.0.0.1:1"):
+    return HostEntry(
+        incarnation.id, "portal", address, DataCentre("a"), started=incarnation.started
+    )
 
 
 class TestBackends:
--- a/packages/node/tests/test_warm_up.py
+++ b/packages/node/tests/test_warm_up.py
@@ -26,7 +26,7 @@
 # The users' figures: a cold engine bears 9.1 requests a second and ends well above.
 PER_S = 9.1
 BOUNDS = WarmUpBounds(ratio=1.5, slack=5.0)
-MOST_PER_S = 9.1 * 1.5 + 5.0
+MAX_PER_S = 9.1 * 1.5 + 5.0
 LIFE = ServerIncarnation(BackendId("e1"), 1)
 
 
@@ -55,7 +55,7 @@
     return (one < 10) != (other < 10)
 
 
-def most_in_a_second(times):
+def max_in_a_second(times):
     """Return the most of some times that lie within any span of a second."""
     times = sorted(times)
     return max(
@@ -66,15 +66,15 @@
 
 class TestPace:
     def test_it_lets_go_evenly(self):
-        pace = RateLimiter(per_s=4.0, now=0.0)
-        gone = [t / 100 for t in range(300) if pace.acquire(t / 100) == 0.0]
-        assert most_in_a_second(gone) <= 5
-        assert len(gone) == 12
+        limiter = RateLimiter(per_s=4.0, now=0.0)
+        passed = [t / 100 for t in range(300) if limiter.acquire(t / 100) == 0.0]
+        assert max_in_a_second(passed) <= 5
+        assert len(passed) == 12
 
     def test_it_tells_when_the_next_may_go(self):
-        pace = RateLimiter(per_s=4.0, now=0.0)
-        assert pace.acquire(0.0) == 0.0
-        assert pace.acquire(0.1) == pytest.approx(0.15)
+        limiter = RateLimiter(per_s=4.0, now=0.0)
+        assert limiter.acquire(0.0) == 0.0
+        assert limiter.acquire(0.1) == pytest.approx(0.15)
 
     @given(
         per_s=st.floats(0.0, 500.0),
@@ -155,7 +155,7 @@
             {m: member(m) for m in range(nodes) if m != n} for n in range(nodes)
         ]
         self.permits = [self._start(n) for n in range(nodes)]
-        self.sent_at_by_life = {}
+        self.sent_at_by_incarnation = {}
 
     def restart(self, number):
         self.permits[number] = self._start(number)
@@ -169,14 +169,14 @@
             lambda: self.clock.now,
         )
 
-    def lose_news(self, share):
+    def lose_updates(self, share):
         """Have nodes believe others dead, and forget some that have just come."""
         for known in self.known:
             for other in known:
                 if self.draw.random() < share:
                     known[other] = member(other, MemberState.DEAD)
 
-    async def send(self, number, life):
+    async def send(self, number, incarnation):
         """Have a node send a request to a cold server, if it may."""
         admission = WarmUpAdmission(
             self.permits[number],
@@ -186,18 +186,22 @@
             lambda kind: None,
         )
         entry = HostEntry(
-            life.id, READERS, "s:1", DataCentre("a"), started=life.started
+            incarnation.id, READERS, "s:1", DataCentre("a"), started=incarnation.started
         )
         admission.is_bounded = lambda server: True
         server = Backend(entry)
         if (await admission.admit(server)).granted:
             late_s = self.draw.random() * 0.3
-            self.sent_at_by_life.setdefault(life, []).append(self.clock.now + late_s)
+            self.sent_at_by_incarnation.setdefault(incarnation, []).append(
+                self.clock.now + late_s
+            )
 
-    async def _ask(self, owner, life, service):
+    async def _ask(self, owner, incarnation, service):
         if self.draw.random() < 0.1:
             raise PeerUnreachable(owner.internal, "lost")
-        return self.permits[int(owner.id.removeprefix("node-"))].issue(life, service)
+        return self.permits[int(owner.id.removeprefix("node-"))].issue(
+            incarnation, service
+        )
 
 
 class TestSumOverNodes:
@@ -206,19 +210,21 @@
     async def test_no_cold_server_gets_more_than_it_bears(self, seed):
         draw = random.Random(seed)
         fleet = Fleet(draw.choice([3, 9, 65]), draw)
-        lives = [ServerIncarnation(BackendId(f"e{n}"), 1) for n in range(4)]
+        incarnations = [ServerIncarnation(BackendId(f"e{n}"), 1) for n in range(4)]
         fleet.clock.now += SETTLE_S
         for step in range(1200):
             fleet.clock.now += 0.005
             if step % 100 == 50:
-                fleet.lose_news(draw.random() * 0.5)
+                fleet.lose_updates(draw.random() * 0.5)
             if step % 150 == 75:
                 fleet.restart(draw.randrange(len(fleet.permits)))
             for _ in range(draw.randrange(4)):
-                await fleet.send(draw.randrange(len(fleet.permits)), draw.choice(lives))
-        assert fleet.sent_at_by_life
-        for times in fleet.sent_at_by_life.values():
-            assert most_in_a_second(times) <= MOST_PER_S
+                await fleet.send(
+                    draw.randrange(len(fleet.permits)), draw.choice(incarnations)
+                )
+        assert fleet.sent_at_by_incarnation
+        for times in fleet.sent_at_by_incarnation.values():
+            assert max_in_a_second(times) <= MAX_PER_S
 
     # Guards against a share that nobody can use: all nodes ask, one counts.
     async def test_many_nodes_together_use_what_it_bears(self):
@@ -228,7 +234,7 @@
         for _ in range(600):
             fleet.clock.now += 0.005
             await fleet.send(draw.randrange(65), LIFE)
-        rate = len(fleet.sent_at_by_life[LIFE]) / 3.0
+        rate = len(fleet.sent_at_by_incarnation[LIFE]) / 3.0
         assert rate >= 0.8 * permitted_per_s(PER_S, BOUNDS)
 
 
@@ -257,7 +263,7 @@
 
     # Guards against requests that are sent since the owner cannot say no.
     async def test_no_answer_is_no_permit(self):
-        async def ask_owner(owner, life, service):
+        async def ask_owner(owner, incarnation, service):
             raise PeerUnreachable(owner.internal, "silent")
 
         admission = self.admission(ask_owner)
--- a/tests/support/retry_budget.py
+++ b/tests/support/retry_budget.py
@@ -54,9 +54,9 @@
         first_at: dict[str, float] = {}
         for run in sorted(runs, key=lambda run: run.at):
             first_at.setdefault(run.request_id, run.at)
-        repeats_at = sorted(run.at for run in runs if run.at > first_at[run.request_id])
+        retries_at = sorted(run.at for run in runs if run.at > first_at[run.request_id])
         return worst_excess(
-            repeats_at,
+            retries_at,
             self.sent_at,
             bounds.retry_ratio,
             bounds.retry_slack,
@@ -65,7 +65,7 @@
 
 
 def worst_excess(
-    repeats_at: list[float],
+    retries_at: list[float],
     sent_at: list[float],
     ratio: float,
     slack: float,
@@ -79,14 +79,14 @@
     """
     return max(
         (
-            _between(repeats_at, since, since + window_s)
+            _between(retries_at, since, since + window_s)
             - ratio
             * max(
                 _between(sent_at, since - back_s, since - back_s + window_s)
                 for back_s in (0.0, window_s / 2, window_s)
             )
             - slack
-            for since in repeats_at
+            for since in retries_at
         ),
         default=-slack,
     )
--- a/tests/support/retry_fleet.py
+++ b/tests/support/retry_fleet.py
@@ -33,38 +33,38 @@
         self._hosts = hosts
         self._requests_per_s = requests_per_s
         self._random = random.Random(hosts)
-        self._owed = 0.0
+        self._unsent = 0.0
         self._turn = 0
         self._sent_at: list[float] = []
-        self._repeats_at: list[float] = []
+        self._retries_at: list[float] = []
         self._process_by_host = {host: self._new_process() for host in range(hosts)}
-        self._back_at_by_host: dict[int, float] = {}
+        self._start_at_by_host: dict[int, float] = {}
 
     def restart(self, host: int, down_s: float = 0.0) -> None:
         """End the process on a host; another one stands in its place later."""
         self._process_by_host.pop(host, None)
-        self._back_at_by_host[host] = self.clock.now + down_s
+        self._start_at_by_host[host] = self.clock.now + down_s
 
-    def play(self, for_s: float, failing: bool, only: int | None = None) -> None:
+    def run(self, for_s: float, failing: bool, only: int | None = None) -> None:
         """Let time pass; while servers fail, each process repeats what it may.
 
         With ``only`` all requests come to that host, as to the owner of a queue.
         """
         for _ in range(round(for_s / STEP_S)):
             self.clock.now += STEP_S
-            self._bring_back()
+            self._start_due()
             self._serve(only)
             if failing:
-                self._repeat()
+                self._retry()
 
     @property
-    def repeats(self) -> int:
+    def retries(self) -> int:
         """How many repeats there were so far."""
-        return len(self._repeats_at)
+        return len(self._retries_at)
 
     def excess(self) -> float:
         """Return by how much repeats passed the budget in the worst window."""
-        return worst_excess(self._repeats_at, self._sent_at, *self._budget)
+        return worst_excess(self._retries_at, self._sent_at, *self._budget)
 
     def _new_process(self) -> RetryBudgets:
         ratio, slack, window_s = self._budget
@@ -73,25 +73,25 @@
         process.sharing_nodes = self._hosts
         return process
 
-    def _bring_back(self) -> None:
+    def _start_due(self) -> None:
         now = self.clock.now
-        back = [host for host, at in self._back_at_by_host.items() if at <= now]
-        for host in back:
-            del self._back_at_by_host[host]
+        due = [host for host, at in self._start_at_by_host.items() if at <= now]
+        for host in due:
+            del self._start_at_by_host[host]
             self._process_by_host[host] = self._new_process()
 
     def _serve(self, only: int | None) -> None:
-        self._owed += self._requests_per_s * STEP_S
+        self._unsent += self._requests_per_s * STEP_S
         up = sorted(self._process_by_host) if only is None else [only]
-        while self._owed >= 1:
-            self._owed -= 1
+        while self._unsent >= 1:
+            self._unsent -= 1
             self._sent_at.append(self.clock.now)
             self._turn += 1
             if up:
                 host = up[self._turn % len(up)]
                 self._process_by_host[host].record_requests(SERVICE)
 
-    def _repeat(self) -> None:
+    def _retry(self) -> None:
         for process in self._process_by_host.values():
             while process.try_spend(SERVICE, "a request"):
-                self._repeats_at.append(self.clock.now)
+                self._retries_at.append(self.clock.now)
