--- a/packages/node/tests/test_quarantine_model.py
+++ b/packages/node/tests/test_quarantine_model.py
@@ -1,7 +1,7 @@
-"""The quarantine against a plain model of it, over any order of news.
+"""Compares the quarantine with a simple model of it, over any order of events.
 
-The draws are the same on each run; ``EELGRASS_FRESH_DRAWS=1`` plays others by hand.
-What those find becomes a test of its own here.
+The examples are the same in each run; ``EELGRASS_FRESH_DRAWS=1`` draws others by hand.
+Failures that those find are added as tests here.
 """
 
 import os
@@ -153,9 +153,9 @@
 )
 
 
-class TestDroppedEnds:
-    # Guards against a request that is remembered by ends as old as forgotten ones.
-    def test_what_is_left_of_a_request_is_as_old_as_its_last_end(self):
+class TestRemovedCrashes:
+    # Guards against a request that is kept by a crash as old as the forgotten ones.
+    def test_the_age_of_a_request_is_that_of_its_last_remaining_crash(self):
         machine = QuarantineMachine()
         request, (older, newer) = REQUESTS[0], LIVES[:2]
         machine.end({request}, older)
