--- a/packages/node/tests/test_budget_shares.py
+++ b/packages/node/tests/test_budget_shares.py
@@ -1,4 +1,4 @@
-"""Among how many nodes budgets are shared, whoever is in reach of whom."""
+"""Tests for the number of nodes that share a budget, reachable or not."""
 
 import msgspec
 import pytest
@@ -33,21 +33,21 @@
 
 
 class TestSharingNodes:
-    # Guards against shares that grow when others leave or are out of reach.
+    # Guards against shares that grow when other nodes leave or are unreachable.
     @pytest.mark.parametrize("state", MemberState)
-    def test_all_that_were_heard_of_share_whatever_became_of_them(self, state):
+    def test_all_known_nodes_share_in_whatever_state(self, state):
         others = [msgspec.structs.replace(other, state=state) for other in OTHERS]
         assert count_sharing_nodes(settings(), OWN, others) == 9
 
-    # Guards against two sides of a cut that each take the whole budget.
-    def test_a_node_that_started_in_a_cut_reckons_with_the_other_side(self):
+    # Guards against two sides of a partition that each take the whole budget.
+    def test_a_node_that_started_in_a_partition_counts_the_other_side(self):
         near = [other for other in OTHERS if other.data_centre == "a"]
         assert count_sharing_nodes(settings(), OWN, near) == 9
 
-    # Guards against a process that takes the whole budget before it hears of others.
-    def test_a_node_that_has_heard_of_nobody_cannot_tell(self):
+    # Guards against a process that takes the whole budget before it knows the others.
+    def test_the_number_is_unknown_before_the_node_knows_any_other(self):
         assert count_sharing_nodes(settings(), OWN, []) is None
 
-    def test_a_node_without_others_shares_with_nobody(self):
+    def test_a_single_node_does_not_share(self):
         alone = settings(seeds=("n0:1",), data_centres="a")
         assert count_sharing_nodes(alone, OWN, []) == 1
--- a/packages/node/tests/test_crash_detector.py
+++ b/packages/node/tests/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""Servers that have ended, told from connections that broke for other reasons."""
+"""Tests that crashes are told from connections lost for other reasons."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 class Server:
-    """One listed server; ``answers`` are what its address says, the last for good."""
+    """One listed server; ``answers`` are the results of probes, the last repeated."""
 
     def __init__(self, *answers):
         self.backends = Backends()
@@ -54,14 +54,14 @@
         await asyncio.sleep(0.05)
 
 
-class TestEnds:
-    async def test_all_that_ran_there_is_told_once(self):
+class TestCrashes:
+    async def test_all_requests_that_were_running_are_reported_once(self):
         server = Server(Listening.NO)
         await server.lose(ONE, TWO)
         assert server.reported == [(server.backend.entry.incarnation, [ONE, TWO])]
         assert server.probes == 1
 
-    async def test_a_call_that_notices_late_is_told_without_asking(self):
+    async def test_a_request_that_notices_late_is_reported_without_a_probe(self):
         server = Server(Listening.NO)
         await server.lose(ONE)
         server.list(None)
@@ -69,7 +69,7 @@
         assert [requests for _, requests in server.reported] == [[ONE], [TWO]]
         assert server.probes == 1
 
-    async def test_it_is_asked_again_where_nothing_answers(self):
+    async def test_the_probe_is_repeated_if_there_is_no_answer(self):
         server = Server(Listening.UNKNOWN, Listening.UNKNOWN, Listening.NO)
         await server.lose(ONE)
         assert len(server.reported) == 1
@@ -77,14 +77,14 @@
 
 class TestOtherLosses:
     @pytest.mark.parametrize("listening", [Listening.YES, Listening.UNKNOWN])
-    async def test_a_server_that_may_live_has_not_ended(self, listening):
+    async def test_a_server_that_may_be_running_is_not_reported(self, listening):
         server = Server(listening)
         await server.lose(ONE)
         assert server.reported == []
 
     @pytest.mark.parametrize("state", [BackendState.LEAVING, None])
-    async def test_a_planned_end_is_no_end(self, state):
-        """Some servers that leave are taken off the list without a word."""
+    async def test_a_planned_stop_is_not_reported(self, state):
+        """Some servers that leave are removed from the list without a leaving entry."""
         server = Server(Listening.NO)
         server.list(state)
         await server.lose(ONE)
@@ -92,7 +92,7 @@
 
 
 class TestListening:
-    async def test_a_listener_a_closed_port_and_one_that_hangs(self):
+    async def test_open_closed_and_hanging_ports(self):
         listener = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
         port = listener.sockets[0].getsockname()[1]
         assert await listening_at(f"127.0.0.1:{port}") is Listening.YES
--- a/packages/node/tests/test_crash_table.py
+++ b/packages/node/tests/test_crash_table.py
@@ -1,4 +1,4 @@
-"""The table of ends in the store: what is written, read, and removed."""
+"""Tests for the crash table in the store: writes, reads and removals."""
 
 import asyncio
 
@@ -35,7 +35,7 @@
 
 
 class Rows:
-    """The rows of the table; it is ``down`` for a while, and tells its readers."""
+    """The rows of the table, which notify ``readers``; ``down`` makes writes fail."""
 
     def __init__(self):
         self.value_by_key = {}
@@ -81,7 +81,7 @@
 
 
 class TestWriting:
-    async def test_ends_that_nodes_see_add_up_at_each(self):
+    async def test_crashes_that_nodes_see_add_up_at_each_node(self):
         async with Nodes() as nodes:
             for number in range(MAX_CRASHES):
                 nodes.tables[number % 2].record_crash(incarnation(number), [POISON])
@@ -89,14 +89,14 @@
                 lambda: all(q.is_quarantined(POISON) for q in nodes.quarantines)
             )
 
-    async def test_ends_that_are_noticed_together_are_one_call(self):
+    async def test_simultaneous_crashes_are_written_in_one_call(self):
         async with Nodes() as nodes:
             requests = [Fingerprint(f"request-{number}") for number in range(50)]
             nodes.tables[0].record_crash(incarnation(1), requests)
             await until(lambda: len(nodes.quarantines[1]) == 50)
             assert nodes.rows.writes == 1
 
-    async def test_what_the_store_does_not_take_is_written_when_it_is_back(self):
+    async def test_failed_writes_are_repeated_when_the_store_is_back(self):
         async with Nodes() as nodes:
             nodes.rows.down = True
             nodes.tables[0].record_crash(incarnation(1), [POISON])
@@ -122,7 +122,7 @@
 
 
 class TestBounds:
-    async def test_rows_whose_time_is_over_are_removed_with_the_next_write(self):
+    async def test_expired_rows_are_removed_with_the_next_write(self):
         async with Nodes() as nodes:
             nodes.tables[0].record_crash(incarnation(1), [POISON])
             await until(lambda: nodes.rows.value_by_key)
@@ -132,8 +132,8 @@
             await until(lambda: nodes.quarantines[0].is_suspect(OTHER))
             assert not nodes.quarantines[0].is_suspect(POISON)
 
-    async def test_too_many_rows_do_not_push_out_what_does_harm(self, monkeypatch):
-        """A caller changes its request each time, so as to be taken for a new one."""
+    async def test_a_flood_of_rows_does_not_evict_a_harmful_request(self, monkeypatch):
+        """A caller changes its request each time, so that it is not recognized."""
         monkeypatch.setattr(crash_table_module, "MAX_ROWS", 10)
         async with Nodes() as nodes:
             for number in range(MAX_CRASHES):
@@ -149,7 +149,7 @@
                 quarantine.is_quarantined(POISON) for quarantine in nodes.quarantines
             )
 
-    async def test_what_waits_for_the_store_is_bounded(self, monkeypatch):
+    async def test_the_changes_that_wait_for_the_store_are_bounded(self, monkeypatch):
         monkeypatch.setattr(crash_table_module, "MAX_PENDING", 10)
         async with Nodes() as nodes:
             nodes.rows.down = True
@@ -175,7 +175,7 @@
         crash = {"request": POISON, "server": ["e1", 0], "at_ms": 9_999_000, **fields}
         return StoredRow(key, 1, msgspec.json.encode(crash))
 
-    def test_rows_that_cannot_be_read_are_nothing(self):
+    def test_invalid_rows_are_ignored(self):
         quarantine, table = self.table()
         odd = (b"", b"\xff", b"{}", b"[1]", b'{"request":1,"server":["e",0],"at_ms":0}')
         table.apply_rows(tuple(StoredRow(f"x{n}", 1, v) for n, v in enumerate(odd)))
@@ -186,7 +186,7 @@
         table.apply_rows((self.row("a", at_ms=20_000_000),))
         assert quarantine.is_suspect(POISON)
 
-    def test_a_whole_read_drops_rows_that_are_gone(self):
+    def test_a_full_read_removes_rows_that_are_gone(self):
         quarantine, table = self.table()
         keys = [self.key("e1"), self.key("e2")]
         table.apply_rows((self.row(keys[0]), self.row(keys[1], server=["e2", 0])))
@@ -197,7 +197,7 @@
         assert len(quarantine) == 0
 
     def test_a_row_that_is_removed_before_it_was_read_is_forgotten(self):
-        """Marks had told of the end; the operator cleared the request at once."""
+        """The crash is known by gossip; the operator cleared the request at once."""
         quarantine, table = self.table()
         quarantine.record_crash(POISON, ServerIncarnation(BackendId("e1")))
         table.apply_rows((StoredRow(self.key("e1"), 2, None),))
--- a/packages/node/tests/test_dispatch.py
+++ b/packages/node/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The queue before a service: who is served, who waits and who is shed."""
+"""Tests for the request queue of a service: order, waiting and load shedding."""
 
 import asyncio
 
@@ -55,7 +55,7 @@
             await asyncio.sleep(0)
             assert task.done()
 
-    async def test_a_place_given_up_in_the_moment_of_its_grant_is_not_lost(self):
+    async def test_a_slot_granted_to_a_cancelled_waiter_is_not_lost(self):
         queue = new_queue("a", sheds=False)
         held = await acquire(queue)
         waiting = acquire(queue)
@@ -69,7 +69,7 @@
 
 
 class TestShedding:
-    async def test_the_hopeless_are_told_at_once(self):
+    async def test_infeasible_waiters_are_refused_at_once(self):
         queue = new_queue("a")
         await acquire(queue)
         loop = asyncio.get_running_loop()
@@ -83,7 +83,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def test_the_baseline_sheds_nobody(self):
+    async def test_the_baseline_does_not_shed(self):
         queue = new_queue("a", sheds=False)
         await acquire(queue)
         tasks = [acquire(queue, deadline_s=0.3) for _ in range(20)]
@@ -93,7 +93,9 @@
 
 
 class TestServers:
-    async def test_a_sound_server_is_waited_for_rather_than_a_failed_one_used(self):
+    async def test_a_waiter_waits_for_a_healthy_server_although_a_failed_one_is_free(
+        self,
+    ):
         queue = new_queue("sound", "failed")
         queue._backends.by_id["failed"].suspect()
         held = await acquire(queue)
@@ -109,7 +111,7 @@
         queue._backends.by_id["failed"].suspect()
         assert (await acquire(queue, tried=["failed"])).entry.id == "failed"
 
-    async def test_a_full_server_is_left_alone_for_a_moment(self):
+    async def test_a_full_server_gets_no_calls_during_its_backoff(self):
         queue = new_queue("a", limit=8)
         held = await acquire(queue)
         queue.refused_as_full(held)
--- a/packages/node/tests/test_evacuations.py
+++ b/packages/node/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""What a node believes of evacuated data centres, whatever way the news takes."""
+"""Tests for a node's view of evacuated data centres, from the store and gossip."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class NodeState:
-    """Evacuations of one node, with what it knows of the store by hand."""
+    """Evacuations of one node, with the state of its store table set by the test."""
 
     def __init__(self):
         self.clock = Clock()
@@ -54,13 +54,13 @@
 
 
 class TestReadRows:
-    async def test_a_row_empties_and_its_removal_ends_it(self, node):
+    async def test_a_row_begins_an_evacuation_and_its_removal_ends_it(self, node):
         node.read(5)
         assert node.is_evacuated()
         node.read(7, value=None)
         assert node.seen == [(NORTH, True), (NORTH, False)]
 
-    # Guards against stale news that reverts an evacuation, or begins one anew.
+    # Guards against stale rows that end an evacuation, or begin it again.
     async def test_an_older_row_changes_nothing(self, node):
         node.read(7)
         node.read(5, value=None)
@@ -74,8 +74,8 @@
         node.read(5)
         assert node.seen == [(NORTH, True)]
 
-    # Guards against an end that is missed while the store forgets its history.
-    async def test_a_whole_read_without_the_row_ends_it(self, node):
+    # Guards against an end that is missed because the store dropped its history.
+    async def test_a_full_read_without_the_row_ends_it(self, node):
         node.read(5)
         node.read(6, data_centre=SOUTH)
         node.complete_to = 9
@@ -83,31 +83,31 @@
         assert not node.is_evacuated()
         assert node.is_evacuated(SOUTH)
 
-    async def test_rows_of_other_kinds_are_left_alone(self, node):
+    async def test_rows_of_other_kinds_are_ignored(self, node):
         rows = [StoredRow(key, 5, b"{}") for key in ("config", PREFIX, "evacuated/x")]
         node.evacuations.apply_rows(rows)
         assert not node.evacuations.since_by_data_centre
 
-    # Guards against a value that nobody can read and that hides the operator's wish.
-    async def test_a_value_that_cannot_be_read_empties_all_the_same(self, node):
+    # Guards against an undecodable value that disables the operator's evacuation.
+    async def test_a_row_with_an_invalid_value_evacuates(self, node):
         node.read(5, value=b"\xff not json")
         assert node.is_evacuated()
 
 
-class TestToldWords:
-    async def test_what_others_tell_holds_before_the_store_says_so(self, node):
+class TestGossip:
+    async def test_gossip_applies_before_the_store_confirms_it(self, node):
         node.evacuations.apply_gossip(NORTH, 5, True)
         assert node.is_evacuated()
 
-    async def test_it_holds_for_as_long_as_the_store_is_out_of_reach(self, node):
+    async def test_it_applies_for_as_long_as_the_store_is_unreachable(self, node):
         node.reachable = False
         node.evacuations.apply_gossip(NORTH, 5, True)
         node.clock.now += 100 * GOSSIP_VALID_S
         node.evacuations.apply_snapshot(set())
         assert node.is_evacuated()
 
-    # Guards against a faulty node that shuts a data centre for good.
-    def test_it_lapses_where_the_store_does_not_say_so(self):
+    # Guards against a faulty node that evacuates a data centre forever.
+    def test_it_expires_if_the_store_does_not_confirm_it(self):
         async def main():
             loop = asyncio.get_running_loop()
             node = NodeState()
@@ -119,24 +119,24 @@
 
         run_in_simulated_time(main())
 
-    async def test_it_yields_to_a_newer_row(self, node):
+    async def test_a_newer_row_overrides_it(self, node):
         node.evacuations.apply_gossip(NORTH, 5, True)
         node.read(6, value=None)
         assert not node.is_evacuated()
 
-    async def test_older_words_change_nothing(self, node):
+    async def test_older_gossip_changes_nothing(self, node):
         node.read(8)
         node.evacuations.apply_gossip(NORTH, 6, False)
         assert node.is_evacuated()
 
-    async def test_a_mark_that_makes_no_sense_is_left_alone(self, node):
+    async def test_invalid_gossip_items_are_ignored(self, node):
         receiver = EvacuationGossip(node.evacuations, lambda item: None)
         receiver.receive(GossipItem("evacuation", "", 5))
         receiver.receive(GossipItem("evacuation", NORTH, -3))
         receiver.receive(GossipItem("failing", NORTH, 11))
         assert not node.evacuations.since_by_data_centre
 
-    async def test_what_one_node_tells_another_hears(self, node):
+    async def test_a_node_applies_what_another_announces(self, node):
         items = []
         sender = EvacuationGossip(node.evacuations, items.append)
         other = NodeState()
@@ -150,9 +150,9 @@
 
 
 class TestAnyOrder:
-    # Guards against news that is lost, late, doubled or out of order.
+    # Guards against updates that are lost, late, duplicated or out of order.
     @pytest.mark.parametrize("seed", range(40))
-    async def test_the_newest_version_holds(self, node, seed):
+    async def test_the_newest_version_applies(self, node, seed):
         draw = random.Random(seed)
         states = [(version, draw.random() < 0.5) for version in range(1, 12)]
         updates = draw.choices(states, k=30)
@@ -171,7 +171,7 @@
     )
 
 
-class TestServersOfThePlace:
+class TestServersOfTheDataCentre:
     async def new_manager(self):
         backends = Backends()
         backends.update([listed("n1", "north"), listed("s1", "south")])
@@ -186,21 +186,21 @@
         )
         return backends, manager
 
-    async def test_they_get_no_new_work_until_it_ends(self):
+    async def test_they_get_no_new_work_until_the_evacuation_ends(self):
         backends, manager = await self.new_manager()
         manager.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
         assert [s.entry.id for s in backends.usable("readers")] == ["s1"]
         manager.evacuations.apply_rows([StoredRow(PREFIX + "north", 6, None)])
         assert len(backends.usable("readers")) == 2
 
-    async def test_one_that_comes_meanwhile_gets_none_either(self):
+    async def test_a_server_listed_during_the_evacuation_gets_no_work(self):
         backends, manager = await self.new_manager()
         manager.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
         backends.update([listed("n1", "north"), listed("n2", "north")])
         assert backends.usable("readers") == []
 
-    # Guards against a rush on servers that became cold while they were empty.
-    async def test_they_are_taken_for_cold_when_it_ends(self):
+    # Guards against a burst of requests to servers that became cold meanwhile.
+    async def test_they_are_treated_as_cold_when_the_evacuation_ends(self):
         backends, manager = await self.new_manager()
         manager.evacuations.apply_rows([StoredRow(PREFIX + "north", 5, b"{}")])
         manager.evacuations.apply_rows([StoredRow(PREFIX + "north", 6, None)])
--- a/packages/node/tests/test_failure_gossip.py
+++ b/packages/node/tests/test_failure_gossip.py
@@ -1,4 +1,4 @@
-"""Servers that fail part of their requests: how long they are left alone."""
+"""Tests for the suspicion of servers that fail part of their requests."""
 
 import asyncio
 import random
@@ -36,15 +36,15 @@
 
 
 class TestSuspicion:
-    async def test_calls_that_fail_together_are_one_failure(self):
-        """Five streams of an engine that ends put it aside for 16 s before."""
+    async def test_simultaneous_failures_count_once(self):
+        """Five streams lost in one crash led to a suspicion of 16 s."""
         [backend] = known("e1").by_id.values()
         for _ in range(5):
             backend.suspect()
         assert backend.suspect_until - now() <= FIRST_S
 
-    async def test_an_older_call_that_succeeds_ends_no_suspicion(self):
-        """Of an engine that fails half of its requests the others succeed."""
+    async def test_a_call_that_began_earlier_does_not_end_a_suspicion(self):
+        """An engine that fails half of its requests completes the others."""
         [backend] = known("e1").by_id.values()
         backend.suspect()
         backend.record_success(took_s=0.5)
@@ -53,7 +53,7 @@
         backend.record_success(took_s=0.005)
         assert backend.suspect_until <= now()
 
-    async def test_successes_in_between_do_not_make_a_failing_server_sound(self):
+    async def test_successes_in_between_do_not_reset_the_suspicion_time(self):
         [backend] = known("e1").by_id.values()
         suspicions_s = []
         for _ in range(4):
@@ -63,7 +63,9 @@
             backend.record_success(took_s=0.001)
         assert suspicions_s[-1] > 6 * suspicions_s[0]
 
-    async def test_failures_of_long_ago_are_forgiven(self, monkeypatch):
+    async def test_a_long_time_without_failures_resets_the_suspicion_time(
+        self, monkeypatch
+    ):
         monkeypatch.setattr(backends_module, "FAILURE_RESET_S", 0.05)
         [backend] = known("e1").by_id.values()
         for _ in range(3):
@@ -74,7 +76,7 @@
 
 
 class Nodes:
-    """Some nodes that hear each other's marks at once."""
+    """Nodes that receive each other's gossip items at once."""
 
     def __init__(self, count):
         self.backends = [known("grey", "sound") for _ in range(count)]
@@ -93,11 +95,11 @@
         return True
 
 
-class TestTelling:
-    async def test_a_failure_at_one_node_spares_the_others(self):
-        """A server that resets 45 of 100 requests, before eight nodes.
+class TestAnnouncements:
+    async def test_a_failure_at_one_node_is_avoided_by_the_others(self):
+        """A server resets 45 of 100 requests from eight nodes.
 
-        Each found out for itself, with a request that could not be repeated.
+        Without announcements each node loses a request that cannot be retried.
         """
         draw = random.Random(3)
         lost = {True: 0, False: 0}
@@ -114,7 +116,7 @@
                 await asyncio.sleep(0.001)
         assert lost[True] <= lost[False] / 2
 
-    async def test_failures_of_an_earlier_life_are_nothing(self):
+    async def test_failures_of_an_earlier_incarnation_are_ignored(self):
         nodes = Nodes(1)
         data_centre = DataCentre("a")
         entry = HostEntry(BackendId("grey"), "readers", "g:1", data_centre, started=500)
@@ -125,7 +127,7 @@
         nodes.gossips[0].receive(GossipItem(GOSSIP_KIND, "grey", 501))
         assert grey.suspect_until > now()
 
-    async def test_marks_of_other_kinds_and_unknown_servers_are_nothing(self):
+    async def test_items_of_other_kinds_and_unknown_servers_are_ignored(self):
         nodes = Nodes(1)
         for item in (
             GossipItem("leaving", "grey", 1),
--- a/packages/node/tests/test_placement.py
+++ b/packages/node/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which engine a prompt goes to, under the loads of the sheets; no network."""
+"""Tests for the engine that a prompt is placed on, under realistic loads."""
 
 import asyncio
 from collections import Counter
@@ -24,14 +24,14 @@
             for n, dc in enumerate("aabbcc")
         ]
 
-    async def test_a_subject_goes_to_one_engine_from_every_node(self):
+    async def test_a_prefix_goes_to_the_same_engine_from_every_node(self):
         servers = self.servers()
         chosen = {
             place_prompt(servers, "subject", 6300, dc, "", 0.0).entry.id for dc in "abc"
         }
         assert chosen == {hash_order(servers, "subject")[0].entry.id}
 
-    async def test_a_busy_engine_passes_its_subject_on(self):
+    async def test_a_busy_engine_passes_its_prefix_on(self):
         servers = self.servers()
         first, second = hash_order(servers, "subject")[:2]
         first.record_load(running=30, waiting=3)
@@ -42,10 +42,10 @@
 
     @pytest.mark.parametrize("prefix_key", ["of-many", None])
     async def test_small_prompts_spread_where_no_load_is_known(self, prefix_key):
-        """82 nodes before 45 engines hear of the load of few (grown sheets).
+        """With 82 nodes and 45 engines, a node knows the load of only a few engines.
 
-        A short shared part is worth less than the way to another data centre, so
-        all engines near by were equal, and the first in the list got them all.
+        The prefill of a short prefix costs less than a round trip to another data
+        centre, so all local engines tied, and the first in the list got every prompt.
         """
         engines = [
             Backend(
@@ -64,7 +64,7 @@
         mean = 1200 / len(engines)
         assert max(counts.values()) < 2 * mean
 
-    async def test_large_inputs_draw_a_small_prompt_to_their_data_centre(self):
+    async def test_a_small_prompt_goes_to_the_data_centre_of_its_large_inputs(self):
         chosen = place_prompt(self.servers(), None, 0, "a", "b", 0.0)
         assert chosen.entry.data_centre == "b"
 
@@ -75,11 +75,10 @@
 
 
 class TestCopies:
-    """Engines come and go while prompts share long parts.
+    """Engines come and go while prompts share long prefixes.
 
-    A new engine takes over a part of all subjects; reading their shared parts
-    again takes 0.24 s of a target of 1.3 s, and copying them 5 ms (13,300 tokens of
-    18 KB over 370 Gbit/s).
+    A new engine takes over a share of all prefixes. Repeating the prefill takes 0.24 s
+    of a target of 1.3 s, and a copy 5 ms (13,300 tokens of 18 KB over 370 Gbit/s).
     """
 
     LIMITS = ModelLimits(64, 613_549, token_bytes=18_432.0, link_bytes_per_s=46.25e9)
@@ -96,30 +95,30 @@
         copy_s = self.LIMITS.copy_s(tokens)
         return copy_source(engines, chosen, "subject", tokens, copy_s, now)
 
-    def test_a_new_engine_copies_from_the_one_that_had_the_subject(self):
+    def test_a_new_engine_copies_from_the_one_that_had_the_prefix(self):
         engines = self.engines()
         first, second = hash_order(engines, "subject")[:2]
         first.first_listed_at = 100.0 - CACHE_WARM_S / 2
         assert self.source(engines, first) is second
 
-    def test_one_that_is_settled_holds_its_subjects_itself(self):
+    def test_an_established_engine_has_its_prefixes_cached(self):
         engines = self.engines()
         first = hash_order(engines, "subject")[0]
         first.first_listed_at = 100.0 - 2 * CACHE_WARM_S
         assert self.source(engines, first) is None
 
-    def test_another_engine_copies_what_the_first_one_holds(self):
+    def test_another_engine_copies_from_the_first_in_hash_order(self):
         engines = self.engines()
         first, second = hash_order(engines, "subject")[:2]
         assert self.source(engines, second) is first
 
-    def test_where_all_are_new_nobody_holds_anything(self):
+    def test_nothing_is_copied_if_all_engines_are_new(self):
         engines = self.engines()
         for engine in engines:
             engine.first_listed_at = 99.0
         assert self.source(engines, engines[0]) is None
 
-    def test_short_parts_are_read(self):
+    def test_short_prefixes_are_not_copied(self):
         engines = self.engines()
         assert self.source(engines, hash_order(engines, "subject")[1], 300) is None
 
@@ -127,19 +126,19 @@
         "limits",
         [
             ModelLimits(64, 600_000),
-            # A hundred times the memory a token, over a link of 10 Gbit/s.
+            # A hundred times the memory per token, over a link of 10 Gbit/s.
             ModelLimits(64, 600_000, token_bytes=1.8e6, link_bytes_per_s=1.25e9),
         ],
         ids=["unknown", "slow"],
     )
-    def test_copies_that_take_long_are_not_made(self, limits):
+    def test_slow_copies_are_not_made(self, limits):
         engines = self.engines()
         second = hash_order(engines, "subject")[1]
         copy_s = limits.copy_s(13_300)
         found = copy_source(engines, second, "subject", 13_300, copy_s, 100.0)
         assert found is None
 
-    def test_only_servers_that_came_later_are_new(self):
+    def test_servers_of_the_first_list_are_not_new(self):
         backends = Backends()
         entries = [engine.entry for engine in self.engines()]
         backends.update(entries[:8])
--- a/packages/node/tests/test_quarantine.py
+++ b/packages/node/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that end their servers: told from neighbours, kept, and forgotten."""
+"""Tests for the quarantine of requests that crash their servers."""
 
 import random
 
@@ -26,42 +26,42 @@
     return ServerIncarnation(BackendId(f"e{number}"), started)
 
 
-def quarantine_with(ends_by_request):
-    """Return a quarantine and its clock, after servers ended under some requests."""
+def quarantine_with(crashed_by_request):
+    """Return a quarantine and its clock, after servers crashed under some requests."""
     clock = Clock()
     quarantine = Quarantine(clock)
-    for request, servers in ends_by_request.items():
+    for request, servers in crashed_by_request.items():
         for server in servers:
             quarantine.record_crash(request, incarnation(server))
     return quarantine, clock
 
 
-class TestHolds:
-    def test_a_request_is_held_after_three_servers(self):
+class TestQuarantined:
+    def test_a_request_is_quarantined_after_three_servers(self):
         quarantine, _ = quarantine_with({POISON: range(MAX_CRASHES - 1)})
         assert quarantine.is_suspect(POISON) and not quarantine.is_quarantined(POISON)
         quarantine.record_crash(POISON, incarnation(MAX_CRASHES))
         assert quarantine.is_quarantined(POISON)
         assert quarantine.remaining_s(POISON) == RETENTION_S
 
-    def test_one_server_that_is_told_of_twice_counts_once(self):
+    def test_a_crash_that_is_reported_repeatedly_counts_once(self):
         quarantine, _ = quarantine_with({POISON: [1] * 5})
         assert not quarantine.is_quarantined(POISON)
 
-    def test_a_server_that_starts_again_under_its_id_is_another_one(self):
+    def test_incarnations_of_a_server_count_separately(self):
         quarantine, _ = quarantine_with({})
         for started in range(MAX_CRASHES):
             quarantine.record_crash(POISON, incarnation(1, started))
         assert quarantine.is_quarantined(POISON)
 
-    def test_a_request_that_ran_to_its_end_is_cleared(self):
-        """Three servers ended while it happened to run there; it is a proper one."""
+    def test_a_request_that_was_completed_is_cleared(self):
+        """Three servers crashed while they ran it, but it is harmless."""
         quarantine, _ = quarantine_with({NEIGHBOUR: [1, 2]})
         assert quarantine.clear(NEIGHBOUR) == (incarnation(1), incarnation(2))
         quarantine.record_crash(NEIGHBOUR, incarnation(3))
         assert not quarantine.is_quarantined(NEIGHBOUR)
 
-    def test_what_was_noted_is_forgotten_in_time(self):
+    def test_crashes_are_forgotten_after_the_retention_time(self):
         quarantine, clock = quarantine_with({POISON: [1, 2, 3]})
         clock.now = RETENTION_S - 1
         assert quarantine.is_quarantined(POISON)
@@ -69,7 +69,7 @@
         assert not quarantine.is_suspect(POISON)
         assert len(quarantine) == 0
 
-    def test_old_news_counts_from_when_it_happened(self):
+    def test_a_late_report_counts_from_the_time_of_the_crash(self):
         quarantine, clock = quarantine_with({})
         quarantine.record_crash(POISON, incarnation(1), age_s=RETENTION_S)
         assert not quarantine.is_suspect(POISON)
@@ -89,7 +89,7 @@
             NEIGHBOUR
         )
 
-    def test_the_one_that_ends_a_fourth_server_explains_the_others(self):
+    def test_the_request_that_crashes_a_fourth_server_clears_the_tied_ones(self):
         quarantine, clock = quarantine_with(
             {POISON: [1, 2, 3, 4], NEIGHBOUR: [1, 2, 3]}
         )
@@ -98,20 +98,20 @@
             NEIGHBOUR
         )
 
-    def test_one_that_shares_two_servers_is_no_rival(self):
+    def test_a_request_that_shares_two_servers_is_not_tied(self):
         quarantine, _ = quarantine_with({POISON: [1, 2, 3], NEIGHBOUR: [1, 2, 4]})
         assert quarantine.is_quarantined(POISON)
 
 
-class TestServersThatEndTogether:
-    """A data centre loses power: many servers end at once, popular requests on them."""
+class TestSimultaneousCrashes:
+    """A data centre loses power: many servers that run popular requests crash."""
 
     POPULAR = Fingerprint("popular")
 
     def crash(self, quarantine, servers, neighbours=5, without=(50, 51)):
-        """End servers under the popular request and others, each on one of them.
+        """Crash servers that run the popular request and other ones of their own.
 
-        The servers ``without`` end at the same moment and did not run it.
+        The servers ``without`` crash at the same time and did not run it.
         """
         for server in servers:
             for request in [self.POPULAR, *self.others(server, neighbours)]:
@@ -127,21 +127,21 @@
 
     # Guards against a popular request that is refused for an hour after an outage.
     @pytest.mark.parametrize("count", [3, 4, 10])
-    def test_a_popular_request_is_not_held(self, count):
+    def test_a_popular_request_is_not_quarantined(self, count):
         quarantine, clock = quarantine_with({})
         self.crash(quarantine, range(count))
         assert not quarantine.is_quarantined(self.POPULAR)
         clock.now = RETENTION_S - 1
         assert not quarantine.is_quarantined(self.POPULAR)
 
-    def test_nor_is_one_that_another_server_ended_under_before(self):
+    def test_an_earlier_crash_under_it_does_not_change_that(self):
         quarantine, clock = quarantine_with({self.POPULAR: [99]})
         clock.now = 100.0
         self.crash(quarantine, range(2))
         assert not quarantine.is_quarantined(self.POPULAR)
 
-    # Guards against a harmful request in copies that passes for an outage.
-    def test_one_more_end_at_another_moment_holds_it(self):
+    # Guards against copies of a harmful request that are taken for an outage.
+    def test_one_more_crash_at_another_time_quarantines_it(self):
         quarantine, clock = quarantine_with({})
         self.crash(quarantine, range(3))
         clock.now = 3.0
@@ -149,18 +149,18 @@
         assert quarantine.is_quarantined(self.POPULAR)
         assert not any(quarantine.is_quarantined(r) for r in self.others(0, 5))
 
-    # Guards against copies of a harmful request that end servers at one moment.
-    def test_where_no_other_server_ended_it_explains_the_ends(self):
+    # Guards against copies of a harmful request that crash servers at the same time.
+    def test_it_is_quarantined_if_no_other_server_crashed(self):
         quarantine, _ = quarantine_with({})
         self.crash(quarantine, range(3), without=())
         assert quarantine.is_quarantined(self.POPULAR)
 
-    def test_where_it_ran_alone_it_explains_the_ends(self):
+    def test_it_is_quarantined_if_it_ran_alone(self):
         quarantine, _ = quarantine_with({})
         self.crash(quarantine, range(3), neighbours=0)
         assert quarantine.is_quarantined(self.POPULAR)
 
-    def test_ends_one_after_the_other_count_each(self):
+    def test_successive_crashes_count_separately(self):
         quarantine, clock = quarantine_with({})
         for server in range(MAX_CRASHES):
             clock.now += 1.0
@@ -169,8 +169,8 @@
 
 
 class TestBounds:
-    def test_new_requests_without_end_do_not_push_out_what_does_harm(self, monkeypatch):
-        """A caller changes its request each time, so as to be taken for a new one."""
+    def test_a_flood_of_new_requests_does_not_evict_a_harmful_one(self, monkeypatch):
+        """A caller changes its request each time, so that it is not recognized."""
         monkeypatch.setattr(quarantine_module, "MAX_REMEMBERED", 8)
         quarantine, clock = quarantine_with({POISON: [1, 2, 3]})
         for number in range(100):
@@ -182,7 +182,7 @@
         assert quarantine.is_quarantined(POISON)
         assert quarantine.is_suspect(Fingerprint("new-99"))
 
-    def test_dropped_ends_leave_nothing(self):
+    def test_removed_crashes_leave_nothing(self):
         quarantine, _ = quarantine_with({POISON: [1, 2]})
         for number in (1, 2, 2, 3):
             quarantine.remove_crash(POISON, incarnation(number))
@@ -193,7 +193,7 @@
 
 
 class Fleet:
-    """Nodes that hear each other's marks at once."""
+    """Nodes that receive each other's gossip items at once."""
 
     def __init__(self, count):
         self.quarantines = [Quarantine(Clock()) for _ in range(count)]
@@ -207,8 +207,8 @@
                 gossip.receive(item)
 
 
-class TestNews:
-    def test_all_nodes_know_what_each_has_seen(self):
+class TestGossip:
+    def test_all_nodes_know_the_crashes_that_each_has_seen(self):
         fleet = Fleet(4)
         for number, gossip in enumerate(fleet.gossips[:MAX_CRASHES]):
             gossip.announce_crash(
@@ -223,7 +223,7 @@
         )
 
     @pytest.mark.parametrize("name", ["", "x", "x y z", "x 1"])
-    def test_marks_that_cannot_be_read_are_nothing(self, name):
+    def test_invalid_gossip_items_are_ignored(self, name):
         fleet = Fleet(1)
         for kind in (CRASH_KIND, SUCCESS_KIND, "failing"):
             fleet.announce([GossipItem(kind, name, 1)])
@@ -231,19 +231,19 @@
 
 
 class TestNeighbours:
-    """Engines that run many requests, and lose them all when one of these ends them."""
+    """Engines that run many requests, all of which are lost when one crashes them."""
 
     ENGINES = 5
     NEIGHBOURS = 12
 
     def simulate(self, seed):
-        """Return the engines ended, and the proper requests that were held."""
+        """Return how many engines crashed and how many harmless requests were held."""
         draw = random.Random(seed)
         clock = Clock()
         quarantine = Quarantine(clock)
         waiting = [Fingerprint(f"proper-{number}") for number in range(self.NEIGHBOURS)]
         crashes = 0
-        refused = set()
+        quarantined = set()
         while crashes < 3 * MAX_CRASHES and not quarantine.is_quarantined(POISON):
             clock.now += draw.uniform(0.1, 3.0)
             engine_by_request = {
@@ -256,17 +256,17 @@
                 else:
                     quarantine.clear(request)
             crashes += 1
-            refused |= {r for r in waiting if quarantine.is_quarantined(r)}
-            # Those that were served leave, and others come.
+            quarantined |= {r for r in waiting if quarantine.is_quarantined(r)}
+            # Requests that were served are replaced by new ones.
             waiting = [
                 r
                 if engine_by_request[r] == crashed_engine
                 else Fingerprint(f"proper-{seed}-{crashes}-{n}")
                 for n, r in enumerate(waiting)
             ]
-        return crashes, len(refused)
+        return crashes, len(quarantined)
 
-    def test_few_engines_end_and_hardly_a_proper_request_is_held(self):
+    def test_few_engines_crash_and_hardly_any_harmless_request_is_held(self):
         runs = [self.simulate(seed) for seed in range(500)]
         assert max(crashes for crashes, _ in runs) <= MAX_CRASHES + 1
-        assert sum(refused for _, refused in runs) <= len(runs) / 20
+        assert sum(quarantined for _, quarantined in runs) <= len(runs) / 20
--- a/packages/node/tests/test_reachability_checks.py
+++ b/packages/node/tests/test_reachability_checks.py
@@ -1,4 +1,4 @@
-"""Whether a data centre is out of reach, told by probes of its nodes."""
+"""Tests for probes that check whether a data centre is unreachable."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 class Network:
-    """Nodes in four data centres, seen from one in ``a``; some are cut off."""
+    """Nodes in four data centres, as seen from ``a``; those in ``cut`` are cut off."""
 
     def __init__(self):
         self.cut = set()
@@ -43,30 +43,30 @@
 
 
 class TestReachChecks:
-    async def test_one_silent_call_says_nothing_where_nodes_answer(self):
+    async def test_one_timeout_suspects_nothing_if_nodes_answer(self):
         network = Network()
         network.reach.record_timeout("b", "server")
         await asyncio.sleep(0.1)
         assert network.suspected() == set()
         assert len(network.probed) <= reachability_checks.MAX_PROBED
 
-    async def test_one_silent_call_is_enough_where_no_node_answers(self):
-        """Each call that found out for itself took up to a second and a try."""
+    async def test_one_timeout_is_enough_if_no_node_answers(self):
+        """Each call that finds out for itself takes up to a second and an attempt."""
         network = Network()
         network.cut = {"b"}
         network.reach.record_timeout("b", "server")
         await asyncio.sleep(0.03)
         assert network.suspected() == {"b"}
 
-    async def test_a_node_that_is_cut_off_itself_doubts_all_others(self):
+    async def test_a_node_that_is_cut_off_itself_suspects_all_others(self):
         network = Network()
         network.cut = {"b", "c", "d"}
         network.reach.record_timeout("b", "server")
         await asyncio.sleep(0.05)
         assert network.suspected() >= {"b", "c"}
 
-    async def test_the_doubt_lasts_until_a_node_answers(self):
-        """A doubt that ended by its time cost the same silent calls again."""
+    async def test_the_suspicion_lasts_until_a_node_answers(self):
+        """A suspicion that expired earlier caused the same timeouts again."""
         network = Network()
         network.cut = {"b"}
         network.reach.record_timeout("b", "server")
@@ -80,8 +80,8 @@
         await asyncio.sleep(0.1)
         assert len(network.probed) == probed
 
-    async def test_one_node_is_too_few_to_judge_by(self):
-        """It may be down or suspended while the servers beside it are well."""
+    async def test_one_node_is_too_few_to_tell(self):
+        """It may be down or suspended while the servers beside it are healthy."""
         network = Network()
         network.cut = {"d"}
         network.reach.record_timeout("d", "server")
@@ -91,8 +91,8 @@
         assert network.suspected() == {"d"}
         assert FIRST_SUSPICION_S < 2.0
 
-    async def test_servers_are_tried_again_where_the_nodes_stay_away(self, monkeypatch):
-        """The nodes of a data centre may be gone for good, and its servers not."""
+    async def test_servers_are_tried_again_if_the_nodes_never_answer(self, monkeypatch):
+        """The nodes of a data centre may be gone for good, but its servers running."""
         monkeypatch.setattr(reachability_checks, "MAX_SUSPICION_S", 0.15)
         network = Network()
         network.cut = {"b"}
--- a/packages/node/tests/test_retry_budgets.py
+++ b/packages/node/tests/test_retry_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of repeats: what one node takes, and what all of them take together."""
+"""Tests for the retry budgets of one node and of all nodes together."""
 
 import os
 import random
@@ -16,7 +16,7 @@
 
 class TestOneProcess:
     def budgets(self, nodes=HOSTS, requests=100):
-        """Return the budgets of a process that has served requests for a while."""
+        """Return the budgets of a process that has served requests for one window."""
         clock = Clock()
         budgets = RetryBudgets(0.2, 56, WINDOW_S, clock, draw=lambda: 0.5)
         budgets.sharing_nodes = nodes
@@ -35,19 +35,19 @@
         total = sum(self.spend_all(self.budgets()[0]) for _ in range(HOSTS))
         assert 0 < total <= 0.2 * HOSTS * 100 + 56
 
-    def test_only_a_part_of_a_window_is_saved_up(self):
+    def test_only_part_of_a_window_can_be_saved_up(self):
         budgets, clock = self.budgets()
         budgets.record_requests("s", 1000)
         clock.now += 2 * WINDOW_S
         assert self.spend_all(budgets) <= SAVED_SLACK_FRACTION * 56 / HOSTS
 
-    def test_it_comes_back_with_requests(self):
+    def test_tokens_accrue_with_requests(self):
         budgets, _ = self.budgets()
         self.spend_all(budgets)
         budgets.record_requests("s", 20)
         assert budgets.try_spend("s", "a request")
 
-    def test_it_comes_back_with_time(self):
+    def test_tokens_accrue_with_time(self):
         budgets, clock = self.budgets()
         self.spend_all(budgets)
         clock.now += WINDOW_S
@@ -58,22 +58,22 @@
         budgets.sharing_nodes = 1
         assert not budgets.try_spend("s", "a request")
 
-    # Guards against the whole slack at a node that does not know of the others yet.
-    def test_there_is_no_slack_until_it_is_known_who_shares_it(self):
+    # Guards against a node that uses all of the slack before it knows the others.
+    def test_there_is_no_slack_while_the_number_of_nodes_is_unknown(self):
         budgets, clock = self.budgets(nodes=None, requests=1)
         clock.now += WINDOW_S
         assert not budgets.try_spend("s", "a request")
 
 
 class TestFleet:
-    """All processes repeat whatever they may, for as long as servers fail."""
+    """All processes retry whenever their budget allows, for as long as servers fail."""
 
     def fleet(self, hosts=HOSTS, requests_per_s=40.0, **options):
         fleet = RetryFleet(hosts, requests_per_s, **options)
         fleet.run(2 * WINDOW_S, failing=False)
         return fleet
 
-    # Guards against a new process that spends what the one before it has spent.
+    # Guards against a new process that spends the budget of its predecessor again.
     @pytest.mark.parametrize("requests_per_s", [4.0, 40.0, 400.0])
     def test_hosts_restarted_at_once_while_servers_fail(self, requests_per_s):
         fleet = self.fleet(requests_per_s=requests_per_s)
@@ -85,7 +85,7 @@
         fleet.run(2 * WINDOW_S, failing=True)
         assert fleet.excess() <= 0
 
-    # Guards against a budget that is spent once more where its requests go next.
+    # Guards against a budget that is spent again where the requests go next.
     @pytest.mark.parametrize("requests_per_s", [4.0, 40.0, 400.0])
     def test_requests_that_move_from_host_to_host(self, requests_per_s):
         fleet = self.fleet(requests_per_s=requests_per_s)
@@ -93,7 +93,7 @@
             fleet.run(1.0, failing=True, only=host)
         assert fleet.excess() <= 0
 
-    # Guards against both with any restarts and any times at which servers fail.
+    # Guards against both, with restarts and failures at any time.
     @pytest.mark.parametrize("seed", SEEDS)
     def test_any_restarts_while_servers_fail_at_any_time(self, seed):
         draw = random.Random(seed)
@@ -116,10 +116,10 @@
         allowed = 0.2 * 40.0 * WINDOW_S + 56.0
         assert -0.25 * allowed <= fleet.excess() <= 0
 
-    # Guards against a large deployment in which nobody may ever repeat anything.
+    # Guards against a large deployment in which no node may ever retry a request.
     @pytest.mark.parametrize("hosts", [60, 195, 400])
-    def test_nodes_that_share_less_than_one_repeat_each(self, hosts):
-        """A service that each node sees a request for in ten seconds."""
+    def test_nodes_whose_share_is_less_than_one_retry(self, hosts):
+        """Each node gets one request for the service in ten seconds."""
         fleet = self.fleet(hosts=hosts, requests_per_s=hosts / 10)
         fleet.run(WINDOW_S, failing=True)
         allowed = 0.2 * hosts + 56.0
--- a/packages/node/tests/test_server_lives.py
+++ b/packages/node/tests/test_server_lives.py
@@ -1,7 +1,8 @@
-"""What is known of one life of a server does not pass to the next one.
+"""Tests that state of one incarnation of a server is not used for the next one.
 
-A server that starts again under its id holds nothing of before and counts its
-results anew: a handle of its earlier life may name another request's result.
+A server that restarts under its id has none of its earlier results and numbers new
+ones from the start. A handle of an earlier incarnation may then name another request's
+result.
 """
 
 import asyncio
@@ -24,7 +25,7 @@
 
 
 class RestartingServer:
-    """Makes results whose handles repeat in each life of one server."""
+    """Makes results whose handles repeat in each incarnation of one server."""
 
     def __init__(self):
         self.current = FIRST
@@ -59,48 +60,48 @@
 
 
 class TestResults:
-    async def test_results_of_a_life_that_ended_are_made_again(self):
-        server_state = RestartingServer()
-        graph = server_state.graph()
-        first_run = server_state.run
+    async def test_results_of_an_ended_incarnation_are_made_again(self):
+        restarting = RestartingServer()
+        graph = restarting.graph()
+        first_run = restarting.run
 
         async def restart_after_first_stage(service, given):
             outcomes = await first_run(service, given)
-            if len(server_state.made) == 1:
-                server_state.current = SECOND
+            if len(restarting.made) == 1:
+                restarting.current = SECOND
             return outcomes
 
         graph._run_items = restart_after_first_stage
         assert await graph.run() == ("s1/0",)
         assert [
-            (service, incarnation) for service, _, incarnation, _ in server_state.made
+            (service, incarnation) for service, _, incarnation, _ in restarting.made
         ] == [
             ("a", FIRST),
             ("a", SECOND),
             ("b", SECOND),
         ]
 
-    async def test_they_are_not_freed_where_the_next_life_may_hold_others(self):
-        server_state = RestartingServer()
-        graph = server_state.graph()
+    async def test_they_are_not_freed_at_the_next_incarnation(self):
+        restarting = RestartingServer()
+        graph = restarting.graph()
         await graph.run()
-        freed_before = list(server_state.freed)
-        server_state.current = SECOND
+        freed_before = list(restarting.freed)
+        restarting.current = SECOND
         assert graph.has_lost_results()
         graph.release()
-        assert server_state.freed == freed_before
+        assert restarting.freed == freed_before
 
-    async def test_those_of_the_current_life_are_freed(self):
-        server_state = RestartingServer()
-        graph = server_state.graph()
+    async def test_results_of_the_current_incarnation_are_freed(self):
+        restarting = RestartingServer()
+        graph = restarting.graph()
         await graph.run()
         assert not graph.has_lost_results()
         graph.release()
-        assert "s1/0" in server_state.freed
+        assert "s1/0" in restarting.freed
 
 
 class TestQueue:
-    async def test_inputs_of_a_life_that_ended_are_not_used(self):
+    async def test_inputs_of_an_ended_incarnation_are_not_used(self):
         service = Service(server("s1"))
         service.ended.add(FIRST)
         [item] = items("r", inputs=("s1/1@a",))
@@ -109,12 +110,12 @@
         assert outcome.failure is ItemFailure.INPUT_GONE
         assert service.calls == []
 
-    async def test_a_result_tells_which_life_holds_it(self):
+    async def test_a_result_names_the_incarnation_that_holds_it(self):
         service = Service(server("s1"))
         [outcome] = await service.queue.run(items("r"))
         assert outcome.producer == service.servers[0].entry.incarnation
 
-    async def test_the_use_of_one_life_is_not_that_of_the_next(self):
+    async def test_the_use_of_one_incarnation_does_not_pass_to_the_next(self):
         backends = Backends()
         backends.update([entry(FIRST)])
         service = Service(backends.by_id["s1"])
@@ -133,7 +134,7 @@
 
 
 class TestBackends:
-    def test_an_older_list_does_not_bring_an_earlier_life_back(self):
+    def test_an_outdated_list_does_not_restore_an_earlier_incarnation(self):
         backends = Backends()
         backends.update([entry(SECOND)])
         known = backends.by_id["s1"]
@@ -142,11 +143,11 @@
 
 
 class TestCalls:
-    """Calls that wait for a life that has ended end with it."""
+    """Calls that wait for an incarnation fail when it has ended."""
 
     @staticmethod
     async def listening(answer):
-        """Return the address of a server that sends ``answer`` and then nothing."""
+        """Return a listener and its address; it sends ``answer`` and then nothing."""
 
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -193,7 +194,7 @@
 
 
 class TestHandOff:
-    def test_lives_travel_with_the_pieces(self):
+    def test_incarnations_are_sent_with_the_items(self):
         from eelgrass_node.connection import batch_handoff
 
         item = BatchItem("r", 1, 0, None, ("s1/0",), 2.0, 1.0, 0, 8, producers=(FIRST,))
--- a/packages/node/tests/test_warm_up.py
+++ b/packages/node/tests/test_warm_up.py
@@ -1,4 +1,4 @@
-"""What cold servers get, summed over all nodes."""
+"""Tests for the rate of requests to cold servers, over all nodes."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 from support.clock import Clock
 
 READERS = "readers"
-# The users' figures: a cold engine bears 9.1 requests a second and ends well above.
+# A cold engine can take 9.1 requests per second and crashes well above that.
 PER_S = 9.1
 BOUNDS = WarmUpBounds(ratio=1.5, slack=5.0)
 MAX_PER_S = 9.1 * 1.5 + 5.0
@@ -44,19 +44,19 @@
 
 
 def permits_of(number, known, clock, seeds=("seed",)):
-    """Return the permits of a node that knows of some members."""
+    """Return the permits of a node that knows some members."""
     return WarmUpPermits(
         lambda: member(number), lambda: known, seeds, RATES, lambda: clock.now
     )
 
 
 def is_cut(one, other):
-    """Return whether a cut parts the first ten nodes from the others."""
+    """Return whether a partition separates two nodes: the first ten from the others."""
     return (one < 10) != (other < 10)
 
 
 def max_in_a_second(times):
-    """Return the most of some times that lie within any span of a second."""
+    """Return the maximum number of times within any span of a second."""
     times = sorted(times)
     return max(
         (sum(at <= t < at + 1.0 for t in times) for at in times),
@@ -64,14 +64,14 @@
     )
 
 
-class TestPace:
-    def test_it_lets_go_evenly(self):
+class TestRateLimiter:
+    def test_it_passes_requests_evenly(self):
         limiter = RateLimiter(per_s=4.0, now=0.0)
         passed = [t / 100 for t in range(300) if limiter.acquire(t / 100) == 0.0]
         assert max_in_a_second(passed) <= 5
         assert len(passed) == 12
 
-    def test_it_tells_when_the_next_may_go(self):
+    def test_it_returns_when_the_next_request_may_pass(self):
         limiter = RateLimiter(per_s=4.0, now=0.0)
         assert limiter.acquire(0.0) == 0.0
         assert limiter.acquire(0.1) == pytest.approx(0.15)
@@ -85,14 +85,14 @@
     def test_two_owners_together_keep_within_the_bound(self, per_s, ratio, slack):
         bounds = WarmUpBounds(ratio, slack)
         permitted = permitted_per_s(per_s, bounds)
-        # Each lets one more go than its rate, and some arrive together.
+        # Each passes one request more than its rate, and some arrive together.
         arriving = 2 * (permitted * 1.35 + 1) if permitted else 0.0
         assert arriving <= bounds.max_per_s(per_s) + 1e-6
         assert permitted <= per_s
 
 
 class TestOwners:
-    def test_one_node_of_all_hands_out_permits(self):
+    def test_one_node_of_all_issues_permits(self):
         clock = Clock()
         nodes = [
             permits_of(n, [member(m) for m in range(65) if m != n], clock)
@@ -102,8 +102,8 @@
         granted = [node.issue(LIFE, READERS).granted for node in nodes]
         assert sum(granted) == 1
 
-    # Guards against an owner on each side of a cut.
-    def test_members_out_of_reach_keep_their_place(self):
+    # Guards against an owner on each side of a partition.
+    def test_unreachable_members_keep_their_place(self):
         clock = Clock()
         nodes = []
         for own in range(20):
@@ -116,37 +116,37 @@
         clock.now += SETTLE_S
         assert sum(node.issue(LIFE, READERS).granted for node in nodes) == 1
 
-    def test_one_that_has_left_owns_nothing(self):
+    def test_a_node_that_has_left_owns_nothing(self):
         clock = Clock()
         left = [member(m, MemberState.LEFT) for m in range(1, 30)]
         permits = permits_of(0, left, clock)
         clock.now += SETTLE_S
         assert permits.issue(LIFE, READERS).granted
 
-    # Guards against nodes that start alone and each take themselves for the owner.
-    def test_one_that_has_heard_of_nobody_hands_out_none(self):
+    # Guards against nodes that start alone and each consider themselves the owner.
+    def test_a_node_that_knows_no_other_issues_none(self):
         clock = Clock()
         permits = permits_of(0, [], clock)
         clock.now += 100.0
         assert not permits.issue(LIFE, READERS).granted
 
-    def test_the_only_node_of_a_deployment_does(self):
+    def test_the_only_node_of_a_deployment_issues_permits(self):
         clock = Clock()
         permits = permits_of(0, [], clock, seeds=())
         clock.now += SETTLE_S
         assert permits.issue(LIFE, READERS).granted
 
-    # Guards against a second full share after the owner is restarted.
-    def test_one_that_has_just_started_hands_out_none(self):
+    # Guards against a second full allowance after the owner restarts.
+    def test_a_node_that_has_just_started_issues_none(self):
         clock = Clock()
         permits = permits_of(0, [], clock, seeds=())
-        # A pace counts for a second, and nodes agree on each other in less.
+        # A rate limiter matters for a second, and nodes discover each other in less.
         clock.now += 1.0
         assert not permits.issue(LIFE, READERS).granted
 
 
 class Fleet:
-    """Nodes that ask each other for permits, with news of members lost at random."""
+    """Nodes that request permits from each other; member updates are lost at random."""
 
     def __init__(self, nodes, draw):
         self.clock = Clock()
@@ -170,7 +170,7 @@
         )
 
     def lose_updates(self, share):
-        """Have nodes believe others dead, and forget some that have just come."""
+        """Mark a random share of the members dead in each node's view."""
         for known in self.known:
             for other in known:
                 if self.draw.random() < share:
@@ -205,9 +205,9 @@
 
 
 class TestSumOverNodes:
-    # Guards against a rush on a cold server from nodes that do not see each other.
+    # Guards against a burst to a cold server from nodes that do not see each other.
     @pytest.mark.parametrize("seed", range(12))
-    async def test_no_cold_server_gets_more_than_it_bears(self, seed):
+    async def test_no_cold_server_gets_more_than_its_limit(self, seed):
         draw = random.Random(seed)
         fleet = Fleet(draw.choice([3, 9, 65]), draw)
         incarnations = [ServerIncarnation(BackendId(f"e{n}"), 1) for n in range(4)]
@@ -226,8 +226,8 @@
         for times in fleet.sent_at_by_incarnation.values():
             assert max_in_a_second(times) <= MAX_PER_S
 
-    # Guards against a share that nobody can use: all nodes ask, one counts.
-    async def test_many_nodes_together_use_what_it_bears(self):
+    # Guards against an allowance divided into shares that are too small to use.
+    async def test_many_nodes_together_use_most_of_the_limit(self):
         draw = random.Random(1)
         fleet = Fleet(65, draw)
         fleet.clock.now += SETTLE_S
@@ -255,14 +255,14 @@
         server.apply_entry(entry)
         return server
 
-    async def test_a_warm_server_needs_none(self):
+    async def test_a_warm_server_needs_no_permit(self):
         assert (await self.admission().admit(self.server(0.0))).granted
 
-    async def test_nor_does_a_cold_one_without_a_bound(self):
+    async def test_a_cold_server_without_a_limit_needs_no_permit(self):
         assert (await self.admission(per_s=0.0).admit(self.server(3.0))).granted
 
-    # Guards against requests that are sent since the owner cannot say no.
-    async def test_no_answer_is_no_permit(self):
+    # Guards against requests that are sent because the owner cannot refuse them.
+    async def test_there_is_no_permit_if_the_owner_does_not_answer(self):
         async def ask_owner(owner, incarnation, service):
             raise PeerUnreachable(owner.internal, "silent")
 
@@ -270,14 +270,14 @@
         admission._permits._own = lambda: member(5)
         assert not (await admission.admit(self.server(3.0))).granted
 
-    # Guards against a server that is shut out by a mistaken entry.
-    async def test_an_absurd_time_is_not_believed(self):
+    # Guards against a server that is excluded by a wrong entry.
+    async def test_an_excessive_warm_up_time_is_capped(self):
         server = self.server(1e9)
         now = asyncio.get_running_loop().time()
         assert server.is_cold(now)
         assert not server.is_cold(now + 61.0)
 
-    async def test_a_later_entry_says_that_it_is_warm(self):
+    async def test_a_later_entry_ends_the_warm_up(self):
         server = self.server(3.0)
         server.apply_entry(HostEntry(BackendId("e9"), READERS, "s:1", DataCentre("a")))
         assert not server.is_cold(asyncio.get_running_loop().time())
--- a/tests/support/crashes.py
+++ b/tests/support/crashes.py
@@ -1,4 +1,4 @@
-"""A table of ends that nobody writes to, for tests of the other tables."""
+"""A crash table without crashes, for tests of the other tables."""
 
 from eelgrass_node.process.crash_table import CrashTable
 from eelgrass_node.process.quarantine import Quarantine
@@ -7,9 +7,9 @@
 
 
 def idle_crash_table() -> CrashTable:
-    """Return one that takes rows in and writes none."""
+    """Return a crash table that applies rows and writes none."""
 
     async def write(puts, removes) -> None:
-        raise AssertionError("nothing has ended")
+        raise AssertionError("no server has crashed")
 
     return CrashTable(Quarantine(lambda: 0.0), write, lambda: 0)
--- a/tests/support/evacuated.py
+++ b/tests/support/evacuated.py
@@ -1,4 +1,4 @@
-"""Evacuations outside a whole node."""
+"""Evacuations for tests without a complete node."""
 
 from eelgrass_node.process.evacuation import Evacuations
 
@@ -8,5 +8,5 @@
 
 
 def idle_evacuations() -> Evacuations:
-    """Return some that nobody looks at."""
+    """Return evacuations that no component uses."""
     return Evacuations(PREFIX, lambda: -1, lambda: True, lambda: 0.0)
--- a/tests/support/retry_budget.py
+++ b/tests/support/retry_budget.py
@@ -1,4 +1,4 @@
-"""Nodes before failing servers, and by how much repeats pass their budget."""
+"""Nodes with failing servers, and by how much retries exceed their budget."""
 
 import asyncio
 from bisect import bisect_left, bisect_right
@@ -17,7 +17,7 @@
 
 
 class FailingServers(EntryDeployment):
-    """Nodes whose requests to one service all fail, and may be repeated once each.
+    """Nodes whose requests to one service all fail, and may be retried once each.
 
     ``sent_at`` are the times at which clients sent their requests, in seconds.
     """
@@ -34,7 +34,7 @@
         return self
 
     async def send(self, node: int, count: int) -> None:
-        """Have clients send requests to a node, one after the other."""
+        """Send requests to a node, one after the other."""
         for _ in range(count):
             self.sent_at.append(asyncio.get_running_loop().time())
             await self.ask(TARGET, node)
@@ -48,7 +48,7 @@
         await until(lambda: node.ready)
 
     def excess(self) -> float:
-        """Return by how much repeats passed the budget in the worst window."""
+        """Return by how much retries exceeded the budget in the worst window."""
         bounds = self.bounds
         runs = self.runs(SERVICE)
         first_at: dict[str, float] = {}
@@ -71,9 +71,9 @@
     slack: float,
     window_s: float,
 ) -> float:
-    """Return by how much repeats pass their budget in the worst window.
+    """Return by how much retries exceed their budget in the worst window.
 
-    Both lists of times are sorted and in seconds. In any window repeats may make up
+    Both lists of times are sorted and in seconds. In any window retries may make up
     ``ratio`` of the requests and ``slack`` more; the requests are those of that window,
     of the one half a window before or of the one before it, whichever has most.
     """
--- a/tests/support/retry_fleet.py
+++ b/tests/support/retry_fleet.py
@@ -1,4 +1,4 @@
-"""Hosts whose processes share a budget of repeats, in simulated time."""
+"""Hosts whose processes share a retry budget, in simulated time."""
 
 import random
 
@@ -14,10 +14,10 @@
 
 
 class RetryFleet:
-    """Hosts with one process each, which repeat as many requests as they may.
+    """Hosts with one process each, which retry as many requests as they may.
 
-    ``requests_per_s`` come to all of them together, evenly and to each host that is up
-    alike.
+    ``requests_per_s`` arrive at all of them together, evenly distributed over the hosts
+    that are up.
     """
 
     def __init__(
@@ -41,14 +41,14 @@
         self._start_at_by_host: dict[int, float] = {}
 
     def restart(self, host: int, down_s: float = 0.0) -> None:
-        """End the process on a host; another one stands in its place later."""
+        """Stop the process on a host; a new one replaces it after ``down_s``."""
         self._process_by_host.pop(host, None)
         self._start_at_by_host[host] = self.clock.now + down_s
 
     def run(self, for_s: float, failing: bool, only: int | None = None) -> None:
-        """Let time pass; while servers fail, each process repeats what it may.
+        """Advance time; while servers fail, each process retries all that it may.
 
-        With ``only`` all requests come to that host, as to the owner of a queue.
+        With ``only`` all requests arrive at that host, as at the owner of a queue.
         """
         for _ in range(round(for_s / STEP_S)):
             self.clock.now += STEP_S
@@ -59,11 +59,11 @@
 
     @property
     def retries(self) -> int:
-        """How many repeats there were so far."""
+        """The number of retries so far."""
         return len(self._retries_at)
 
     def excess(self) -> float:
-        """Return by how much repeats passed the budget in the worst window."""
+        """Return by how much retries exceeded the budget in the worst window."""
         return worst_excess(self._retries_at, self._sent_at, *self._budget)
 
     def _new_process(self) -> RetryBudgets:
