--- a/tests/support/retry_budget.py
+++ b/tests/support/retry_budget.py
@@ -8,7 +8,7 @@
 
 from .entry import EntryDeployment, until
 
-__all__ = ["FailingServers", "worst_excess"]
+__all__ = ["FailingServersDeployment", "worst_excess"]
 
 SERVICE = "desk"
 TARGET = "/safe/x"
@@ -16,7 +16,7 @@
 MANY_CALLS = 10_000
 
 
-class FailingServers(EntryDeployment):
+class FailingServersDeployment(EntryDeployment):
     """Nodes whose requests to one service all fail, and may be retried once each.
 
     ``sent_at`` are the times at which clients sent their requests, in seconds.
@@ -26,7 +26,7 @@
         super().__init__(nodes)
         self.sent_at: list[float] = []
 
-    async def __aenter__(self) -> "FailingServers":
+    async def __aenter__(self) -> "FailingServersDeployment":
         """Start everything and wait until the nodes are ready."""
         await super().__aenter__()
         for engine in self.engines_by_service[SERVICE]:
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from support.retry_budget import FailingServers
+from support.retry_budget import FailingServersDeployment
 
 NODES = 6
 REQUESTS = 40
@@ -11,7 +11,7 @@
 class TestRepeatsOfAllNodes:
     # Guards against shares of the budget that grow as other nodes leave.
     async def test_they_keep_the_budget_while_nodes_leave_in_turn(self):
-        async with FailingServers(NODES) as deployment:
+        async with FailingServersDeployment(NODES) as deployment:
             for number in range(NODES):
                 await deployment.send(number, REQUESTS)
                 await deployment.nodes[number].membership.leave()
@@ -19,7 +19,7 @@
 
     # Guards against a process that spends anew what the one before it has spent.
     async def test_they_keep_the_budget_while_nodes_are_restarted(self):
-        async with FailingServers(NODES) as deployment:
+        async with FailingServersDeployment(NODES) as deployment:
             for _ in range(2):
                 for number in range(NODES):
                     await deployment.send(number, REQUESTS // 2)
