--- a/packages/node/src/eelgrass_node/process/quarantine.py
+++ b/packages/node/src/eelgrass_node/process/quarantine.py
@@ -62,7 +62,7 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._suspect_by_request: dict[Fingerprint, _Suspect] = {}
-        self._requests_by_incarnation: dict[ServerIncarnation, set[Fingerprint]] = {}
+        self._requests_by_life: dict[ServerIncarnation, set[Fingerprint]] = {}
 
     def __len__(self) -> int:
         """Return the number of remembered requests."""
@@ -92,7 +92,7 @@
         elif incarnation in suspect.time_by_server:
             return False
         suspect.time_by_server[incarnation] = self._clock() - age_s
-        self._requests_by_incarnation.setdefault(incarnation, set()).add(request)
+        self._requests_by_life.setdefault(incarnation, set()).add(request)
         if len(suspect.time_by_server) >= MAX_CRASHES:
             log(
                 Part.REQUESTS,
@@ -182,7 +182,7 @@
 
     def _others_crashed(self, suspect: _Suspect, at: float) -> bool:
         """Return whether a server without the suspect crashed at the same time."""
-        for incarnation, requests in self._requests_by_incarnation.items():
+        for incarnation, requests in self._requests_by_life.items():
             if incarnation in suspect.time_by_server:
                 continue
             known = (self._suspect_by_request[other] for other in requests)
@@ -199,7 +199,7 @@
 
         Co-suspects do not count, because they crashed all of the same servers.
         """
-        others = self._requests_by_incarnation[incarnation] - {request}
+        others = self._requests_by_life[incarnation] - {request}
         distinguishing = (
             other for other in others if not self._is_co_suspect(other, suspect)
         )
@@ -213,7 +213,7 @@
     def _co_suspects(self, request: Fingerprint, suspect: _Suspect) -> list[_Suspect]:
         """Return the other requests under which all of the same servers crashed."""
         sharing = (
-            self._requests_by_incarnation[incarnation]
+            self._requests_by_life[incarnation]
             for incarnation in suspect.time_by_server
         )
         co_suspects = set.intersection(*sharing) - {request}
@@ -242,7 +242,7 @@
     def _remove_request_from(
         self, request: Fingerprint, incarnation: ServerIncarnation
     ) -> None:
-        requests = self._requests_by_incarnation[incarnation]
+        requests = self._requests_by_life[incarnation]
         requests.discard(request)
         if not requests:
-            del self._requests_by_incarnation[incarnation]
+            del self._requests_by_life[incarnation]
