--- a/packages/node/tests/test_budget_shares.py
+++ b/packages/node/tests/test_budget_shares.py
@@ -41,8 +41,8 @@
 
     # Guards against two sides of a partition that each take the whole budget.
     def test_a_node_that_started_in_a_partition_counts_the_other_side(self):
-        near = [other for other in OTHERS if other.data_centre == "a"]
-        assert count_sharing_nodes(settings(), OWN, near) == 9
+        same_data_centre = [other for other in OTHERS if other.data_centre == "a"]
+        assert count_sharing_nodes(settings(), OWN, same_data_centre) == 9
 
     # Guards against a process that takes the whole budget before it knows the others.
     def test_the_number_is_unknown_before_the_node_knows_any_other(self):
--- a/packages/node/tests/test_warm_up.py
+++ b/packages/node/tests/test_warm_up.py
@@ -27,7 +27,7 @@
 PER_S = 9.1
 BOUNDS = WarmUpBounds(ratio=1.5, slack=5.0)
 MAX_PER_S = 9.1 * 1.5 + 5.0
-LIFE = ServerIncarnation(BackendId("e1"), 1)
+INCARNATION = ServerIncarnation(BackendId("e1"), 1)
 
 
 def member(number, state=MemberState.ALIVE):
@@ -99,7 +99,7 @@
             for n in range(65)
         ]
         clock.now += SETTLE_S
-        granted = [node.issue(LIFE, READERS).granted for node in nodes]
+        granted = [node.issue(INCARNATION, READERS).granted for node in nodes]
         assert sum(granted) == 1
 
     # Guards against an owner on each side of a partition.
@@ -114,27 +114,27 @@
             ]
             nodes.append(permits_of(own, others, clock))
         clock.now += SETTLE_S
-        assert sum(node.issue(LIFE, READERS).granted for node in nodes) == 1
+        assert sum(node.issue(INCARNATION, READERS).granted for node in nodes) == 1
 
     def test_a_node_that_has_left_owns_nothing(self):
         clock = Clock()
         left = [member(m, MemberState.LEFT) for m in range(1, 30)]
         permits = permits_of(0, left, clock)
         clock.now += SETTLE_S
-        assert permits.issue(LIFE, READERS).granted
+        assert permits.issue(INCARNATION, READERS).granted
 
     # Guards against nodes that start alone and each consider themselves the owner.
     def test_a_node_that_knows_no_other_issues_none(self):
         clock = Clock()
         permits = permits_of(0, [], clock)
         clock.now += 100.0
-        assert not permits.issue(LIFE, READERS).granted
+        assert not permits.issue(INCARNATION, READERS).granted
 
     def test_the_only_node_of_a_deployment_issues_permits(self):
         clock = Clock()
         permits = permits_of(0, [], clock, seeds=())
         clock.now += SETTLE_S
-        assert permits.issue(LIFE, READERS).granted
+        assert permits.issue(INCARNATION, READERS).granted
 
     # Guards against a second full allowance after the owner restarts.
     def test_a_node_that_has_just_started_issues_none(self):
@@ -142,7 +142,7 @@
         permits = permits_of(0, [], clock, seeds=())
         # A rate limiter matters for a second, and nodes discover each other in less.
         clock.now += 1.0
-        assert not permits.issue(LIFE, READERS).granted
+        assert not permits.issue(INCARNATION, READERS).granted
 
 
 class Fleet:
@@ -233,8 +233,8 @@
         fleet.clock.now += SETTLE_S
         for _ in range(600):
             fleet.clock.now += 0.005
-            await fleet.send(draw.randrange(65), LIFE)
-        rate = len(fleet.sent_at_by_incarnation[LIFE]) / 3.0
+            await fleet.send(draw.randrange(65), INCARNATION)
+        rate = len(fleet.sent_at_by_incarnation[INCARNATION]) / 3.0
         assert rate >= 0.8 * permitted_per_s(PER_S, BOUNDS)
 
 
