--- a/packages/node/tests/test_crash_table.py
+++ b/packages/node/tests/test_crash_table.py
@@ -1,4 +1,4 @@
-"""The table of ends in the store: what is written, read, and removed."""
+"""Tests for the crash table in the store: writes, reads and removals."""
 
 import asyncio
 
@@ -23,19 +23,19 @@
 OTHER = Fingerprint("other")
 
 
-def life(number):
+def incarnation(number):
     return ServerIncarnation(BackendId(f"e{number}"), number)
 
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(crash_table_module, "COLLECT_S", 0.005)
-    monkeypatch.setattr(crash_table_module, "REMOVE_S", 0.02)
-    monkeypatch.setattr(crash_table_module, "AGAIN_S", 0.01)
+    monkeypatch.setattr(crash_table_module, "BATCH_DELAY_S", 0.005)
+    monkeypatch.setattr(crash_table_module, "REMOVAL_DELAY_S", 0.02)
+    monkeypatch.setattr(crash_table_module, "RETRY_INTERVAL_S", 0.01)
 
 
 class Rows:
-    """The rows of the table; it is ``down`` for a while, and tells its readers."""
+    """The rows of the table, which notify ``readers``; ``down`` makes writes fail."""
 
     def __init__(self):
         self.value_by_key = {}
@@ -81,67 +81,67 @@
 
 
 class TestWriting:
-    async def test_ends_that_nodes_see_add_up_at_each(self):
+    async def test_crashes_that_nodes_see_add_up_at_each_node(self):
         async with Nodes() as nodes:
             for number in range(MAX_CRASHES):
-                nodes.tables[number % 2].record_crash(life(number), [POISON])
+                nodes.tables[number % 2].record_crash(incarnation(number), [POISON])
             await until(
                 lambda: all(q.is_quarantined(POISON) for q in nodes.quarantines)
             )
 
-    async def test_ends_that_are_noticed_together_are_one_call(self):
+    async def test_simultaneous_crashes_are_written_in_one_call(self):
         async with Nodes() as nodes:
             requests = [Fingerprint(f"request-{number}") for number in range(50)]
-            nodes.tables[0].record_crash(life(1), requests)
+            nodes.tables[0].record_crash(incarnation(1), requests)
             await until(lambda: len(nodes.quarantines[1]) == 50)
             assert nodes.rows.writes == 1
 
-    async def test_what_the_store_does_not_take_is_written_when_it_is_back(self):
+    async def test_failed_writes_are_repeated_when_the_store_is_back(self):
         async with Nodes() as nodes:
             nodes.rows.down = True
-            nodes.tables[0].record_crash(life(1), [POISON])
+            nodes.tables[0].record_crash(incarnation(1), [POISON])
             await until(lambda: nodes.rows.writes > 2)
             nodes.rows.down = False
             await until(lambda: nodes.quarantines[1].is_suspect(POISON))
 
     async def test_rows_of_a_request_that_was_served_are_removed(self):
         async with Nodes() as nodes:
-            nodes.tables[0].record_crash(life(1), [POISON, OTHER])
+            nodes.tables[0].record_crash(incarnation(1), [POISON, OTHER])
             await until(lambda: nodes.quarantines[1].is_suspect(POISON))
-            nodes.tables[1].remove_crashes(POISON, [life(1)])
+            nodes.tables[1].remove_crashes(POISON, [incarnation(1)])
             await until(lambda: not nodes.quarantines[0].is_suspect(POISON))
             assert all(quarantine.is_suspect(OTHER) for quarantine in nodes.quarantines)
             assert len(nodes.rows.value_by_key) == 1
 
     async def test_nothing_is_written_without_need(self):
         async with Nodes() as nodes:
-            nodes.tables[0].record_crash(life(1), [POISON])
+            nodes.tables[0].record_crash(incarnation(1), [POISON])
             await until(lambda: nodes.rows.writes == 1)
             await asyncio.sleep(0.1)
             assert nodes.rows.writes == 1
 
 
 class TestBounds:
-    async def test_rows_whose_time_is_over_are_removed_with_the_next_write(self):
+    async def test_expired_rows_are_removed_with_the_next_write(self):
         async with Nodes() as nodes:
-            nodes.tables[0].record_crash(life(1), [POISON])
+            nodes.tables[0].record_crash(incarnation(1), [POISON])
             await until(lambda: nodes.rows.value_by_key)
             nodes.unix_ms += int(RETENTION_S * 1000) + 1
-            nodes.tables[1].record_crash(life(2), [OTHER])
+            nodes.tables[1].record_crash(incarnation(2), [OTHER])
             await until(lambda: len(nodes.rows.value_by_key) == 1)
             await until(lambda: nodes.quarantines[0].is_suspect(OTHER))
             assert not nodes.quarantines[0].is_suspect(POISON)
 
-    async def test_too_many_rows_do_not_push_out_what_does_harm(self, monkeypatch):
-        """A caller changes its request each time, so as to be taken for a new one."""
+    async def test_a_flood_of_rows_does_not_evict_a_harmful_request(self, monkeypatch):
+        """A caller changes its request each time, so that it is not recognized."""
         monkeypatch.setattr(crash_table_module, "MAX_ROWS", 10)
         async with Nodes() as nodes:
             for number in range(MAX_CRASHES):
-                nodes.tables[0].record_crash(life(number), [POISON])
+                nodes.tables[0].record_crash(incarnation(number), [POISON])
             for number in range(30):
                 nodes.unix_ms += 1
                 nodes.tables[1].record_crash(
-                    life(number), [Fingerprint(f"new-{number}")]
+                    incarnation(number), [Fingerprint(f"new-{number}")]
                 )
                 await asyncio.sleep(0.01)
             await until(lambda: len(nodes.rows.value_by_key) <= 11)
@@ -149,12 +149,12 @@
                 quarantine.is_quarantined(POISON) for quarantine in nodes.quarantines
             )
 
-    async def test_what_waits_for_the_store_is_bounded(self, monkeypatch):
+    async def test_the_changes_that_wait_for_the_store_are_bounded(self, monkeypatch):
         monkeypatch.setattr(crash_table_module, "MAX_PENDING", 10)
         async with Nodes() as nodes:
             nodes.rows.down = True
             for number in range(100):
-                nodes.tables[0].record_crash(life(number), [POISON])
+                nodes.tables[0].record_crash(incarnation(number), [POISON])
             nodes.rows.down = False
             await until(lambda: len(nodes.rows.value_by_key) == 10)
 
@@ -172,10 +172,10 @@
         return crash_table_module._key(POISON, ServerIncarnation(BackendId(server)))
 
     def row(self, key, **fields):
-        end = {"request": POISON, "server": ["e1", 0], "at_ms": 9_999_000, **fields}
-        return StoredRow(key, 1, msgspec.json.encode(end))
+        crash = {"request": POISON, "server": ["e1", 0], "at_ms": 9_999_000, **fields}
+        return StoredRow(key, 1, msgspec.json.encode(crash))
 
-    def test_rows_that_cannot_be_read_are_nothing(self):
+    def test_invalid_rows_are_ignored(self):
         quarantine, table = self.table()
         odd = (b"", b"\xff", b"{}", b"[1]", b'{"request":1,"server":["e",0],"at_ms":0}')
         table.apply_rows(tuple(StoredRow(f"x{n}", 1, v) for n, v in enumerate(odd)))
@@ -186,7 +186,7 @@
         table.apply_rows((self.row("a", at_ms=20_000_000),))
         assert quarantine.is_suspect(POISON)
 
-    def test_a_whole_read_drops_rows_that_are_gone(self):
+    def test_a_full_read_removes_rows_that_are_gone(self):
         quarantine, table = self.table()
         keys = [self.key("e1"), self.key("e2")]
         table.apply_rows((self.row(keys[0]), self.row(keys[1], server=["e2", 0])))
@@ -197,7 +197,7 @@
         assert len(quarantine) == 0
 
     def test_a_row_that_is_removed_before_it_was_read_is_forgotten(self):
-        """Marks had told of the end; the operator cleared the request at once."""
+        """The crash is known by gossip; the operator cleared the request at once."""
         quarantine, table = self.table()
         quarantine.record_crash(POISON, ServerIncarnation(BackendId("e1")))
         table.apply_rows((StoredRow(self.key("e1"), 2, None),))
--- a/packages/node/tests/test_quarantine.py
+++ b/packages/node/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that end their servers: told from neighbours, kept, and forgotten."""
+"""Tests for the quarantine of requests that crash their servers."""
 
 import random
 
@@ -22,46 +22,46 @@
 NEIGHBOUR = Fingerprint("neighbour")
 
 
-def life(number, started=0):
+def incarnation(number, started=0):
     return ServerIncarnation(BackendId(f"e{number}"), started)
 
 
-def quarantine_with(ends_by_request):
-    """Return a quarantine and its clock, after servers ended under some requests."""
+def quarantine_with(crashed_by_request):
+    """Return a quarantine and its clock, after servers crashed under some requests."""
     clock = Clock()
     quarantine = Quarantine(clock)
-    for request, servers in ends_by_request.items():
+    for request, servers in crashed_by_request.items():
         for server in servers:
-            quarantine.record_crash(request, life(server))
+            quarantine.record_crash(request, incarnation(server))
     return quarantine, clock
 
 
-class TestHolds:
-    def test_a_request_is_held_after_three_servers(self):
+class TestQuarantined:
+    def test_a_request_is_quarantined_after_three_servers(self):
         quarantine, _ = quarantine_with({POISON: range(MAX_CRASHES - 1)})
         assert quarantine.is_suspect(POISON) and not quarantine.is_quarantined(POISON)
-        quarantine.record_crash(POISON, life(MAX_CRASHES))
+        quarantine.record_crash(POISON, incarnation(MAX_CRASHES))
         assert quarantine.is_quarantined(POISON)
         assert quarantine.remaining_s(POISON) == RETENTION_S
 
-    def test_one_server_that_is_told_of_twice_counts_once(self):
+    def test_a_crash_that_is_reported_repeatedly_counts_once(self):
         quarantine, _ = quarantine_with({POISON: [1] * 5})
         assert not quarantine.is_quarantined(POISON)
 
-    def test_a_server_that_starts_again_under_its_id_is_another_one(self):
+    def test_incarnations_of_a_server_count_separately(self):
         quarantine, _ = quarantine_with({})
         for started in range(MAX_CRASHES):
-            quarantine.record_crash(POISON, life(1, started))
+            quarantine.record_crash(POISON, incarnation(1, started))
         assert quarantine.is_quarantined(POISON)
 
-    def test_a_request_that_ran_to_its_end_is_cleared(self):
-        """Three servers ended while it happened to run there; it is a proper one."""
+    def test_a_request_that_was_completed_is_cleared(self):
+        """Three servers crashed while they ran it, but it is harmless."""
         quarantine, _ = quarantine_with({NEIGHBOUR: [1, 2]})
-        assert quarantine.clear(NEIGHBOUR) == (life(1), life(2))
-        quarantine.record_crash(NEIGHBOUR, life(3))
+        assert quarantine.clear(NEIGHBOUR) == (incarnation(1), incarnation(2))
+        quarantine.record_crash(NEIGHBOUR, incarnation(3))
         assert not quarantine.is_quarantined(NEIGHBOUR)
 
-    def test_what_was_noted_is_forgotten_in_time(self):
+    def test_crashes_are_forgotten_after_the_retention_time(self):
         quarantine, clock = quarantine_with({POISON: [1, 2, 3]})
         clock.now = RETENTION_S - 1
         assert quarantine.is_quarantined(POISON)
@@ -69,11 +69,11 @@
         assert not quarantine.is_suspect(POISON)
         assert len(quarantine) == 0
 
-    def test_old_news_counts_from_when_it_happened(self):
+    def test_a_late_report_counts_from_the_time_of_the_crash(self):
         quarantine, clock = quarantine_with({})
-        quarantine.record_crash(POISON, life(1), age_s=RETENTION_S)
+        quarantine.record_crash(POISON, incarnation(1), age_s=RETENTION_S)
         assert not quarantine.is_suspect(POISON)
-        quarantine.record_crash(POISON, life(1), age_s=RETENTION_S - 1)
+        quarantine.record_crash(POISON, incarnation(1), age_s=RETENTION_S - 1)
         clock.now = 1.0
         assert not quarantine.is_suspect(POISON)
 
@@ -89,7 +89,7 @@
             NEIGHBOUR
         )
 
-    def test_the_one_that_ends_a_fourth_server_explains_the_others(self):
+    def test_the_request_that_crashes_a_fourth_server_clears_the_tied_ones(self):
         quarantine, clock = quarantine_with(
             {POISON: [1, 2, 3, 4], NEIGHBOUR: [1, 2, 3]}
         )
@@ -98,126 +98,132 @@
             NEIGHBOUR
         )
 
-    def test_one_that_shares_two_servers_is_no_rival(self):
+    def test_a_request_that_shares_two_servers_is_not_tied(self):
         quarantine, _ = quarantine_with({POISON: [1, 2, 3], NEIGHBOUR: [1, 2, 4]})
         assert quarantine.is_quarantined(POISON)
 
 
-class TestServersThatEndTogether:
-    """A data centre loses power: many servers end at once, popular requests on them."""
+class TestSimultaneousCrashes:
+    """A data centre loses power: many servers that run popular requests crash."""
 
     POPULAR = Fingerprint("popular")
 
-    def lose(self, quarantine, servers, beside=5, without=(50, 51)):
-        """End servers under the popular request and others, each on one of them.
+    def crash(self, quarantine, servers, neighbours=5, without=(50, 51)):
+        """Crash servers that run the popular request and other ones of their own.
 
-        The servers ``without`` end at the same moment and did not run it.
+        The servers ``without`` crash at the same time and did not run it.
         """
         for server in servers:
-            for request in [self.POPULAR, *self.others(server, beside)]:
-                quarantine.record_crash(request, life(server))
+            for request in [self.POPULAR, *self.others(server, neighbours)]:
+                quarantine.record_crash(request, incarnation(server))
         for server in without:
-            for request in self.others(server, beside):
-                quarantine.record_crash(request, life(server))
+            for request in self.others(server, neighbours):
+                quarantine.record_crash(request, incarnation(server))
 
-    def others(self, server, beside):
-        return [Fingerprint(f"proper-{server}-{number}") for number in range(beside)]
+    def others(self, server, neighbours):
+        return [
+            Fingerprint(f"proper-{server}-{number}") for number in range(neighbours)
+        ]
 
     # Guards against a popular request that is refused for an hour after an outage.
     @pytest.mark.parametrize("count", [3, 4, 10])
-    def test_a_popular_request_is_not_held(self, count):
+    def test_a_popular_request_is_not_quarantined(self, count):
         quarantine, clock = quarantine_with({})
-        self.lose(quarantine, range(count))
+        self.crash(quarantine, range(count))
         assert not quarantine.is_quarantined(self.POPULAR)
         clock.now = RETENTION_S - 1
         assert not quarantine.is_quarantined(self.POPULAR)
 
-    def test_nor_is_one_that_another_server_ended_under_before(self):
+    def test_an_earlier_crash_under_it_does_not_change_that(self):
         quarantine, clock = quarantine_with({self.POPULAR: [99]})
         clock.now = 100.0
-        self.lose(quarantine, range(2))
+        self.crash(quarantine, range(2))
         assert not quarantine.is_quarantined(self.POPULAR)
 
-    # Guards against a harmful request in copies that passes for an outage.
-    def test_one_more_end_at_another_moment_holds_it(self):
+    # Guards against copies of a harmful request that are taken for an outage.
+    def test_one_more_crash_at_another_time_quarantines_it(self):
         quarantine, clock = quarantine_with({})
-        self.lose(quarantine, range(3))
+        self.crash(quarantine, range(3))
         clock.now = 3.0
-        self.lose(quarantine, [7])
+        self.crash(quarantine, [7])
         assert quarantine.is_quarantined(self.POPULAR)
         assert not any(quarantine.is_quarantined(r) for r in self.others(0, 5))
 
-    # Guards against copies of a harmful request that end servers at one moment.
-    def test_where_no_other_server_ended_it_explains_the_ends(self):
+    # Guards against copies of a harmful request that crash servers at the same time.
+    def test_it_is_quarantined_if_no_other_server_crashed(self):
         quarantine, _ = quarantine_with({})
-        self.lose(quarantine, range(3), without=())
+        self.crash(quarantine, range(3), without=())
         assert quarantine.is_quarantined(self.POPULAR)
 
-    def test_where_it_ran_alone_it_explains_the_ends(self):
+    def test_it_is_quarantined_if_it_ran_alone(self):
         quarantine, _ = quarantine_with({})
-        self.lose(quarantine, range(3), beside=0)
+        self.crash(quarantine, range(3), neighbours=0)
         assert quarantine.is_quarantined(self.POPULAR)
 
-    def test_ends_one_after_the_other_count_each(self):
+    def test_successive_crashes_count_separately(self):
         quarantine, clock = quarantine_with({})
         for server in range(MAX_CRASHES):
             clock.now += 1.0
-            self.lose(quarantine, [server])
+            self.crash(quarantine, [server])
         assert quarantine.is_quarantined(self.POPULAR)
 
 
 class TestBounds:
-    def test_new_requests_without_end_do_not_push_out_what_does_harm(self, monkeypatch):
-        """A caller changes its request each time, so as to be taken for a new one."""
+    def test_a_flood_of_new_requests_does_not_evict_a_harmful_one(self, monkeypatch):
+        """A caller changes its request each time, so that it is not recognized."""
         monkeypatch.setattr(quarantine_module, "MAX_REMEMBERED", 8)
         quarantine, clock = quarantine_with({POISON: [1, 2, 3]})
         for number in range(100):
             clock.now += 1.0
-            quarantine.record_crash(Fingerprint(f"new-{number}"), life(10 + number))
+            quarantine.record_crash(
+                Fingerprint(f"new-{number}"), incarnation(10 + number)
+            )
         assert len(quarantine) == 8
         assert quarantine.is_quarantined(POISON)
         assert quarantine.is_suspect(Fingerprint("new-99"))
 
-    def test_dropped_ends_leave_nothing(self):
+    def test_removed_crashes_leave_nothing(self):
         quarantine, _ = quarantine_with({POISON: [1, 2]})
         for number in (1, 2, 2, 3):
-            quarantine.remove_crash(POISON, life(number))
+            quarantine.remove_crash(POISON, incarnation(number))
         assert len(quarantine) == 0
-        quarantine.record_crash(NEIGHBOUR, life(1))
+        quarantine.record_crash(NEIGHBOUR, incarnation(1))
         quarantine.clear(NEIGHBOUR)
         assert len(quarantine) == 0
 
 
 class Fleet:
-    """Nodes that hear each other's marks at once."""
+    """Nodes that receive each other's gossip items at once."""
 
     def __init__(self, count):
         self.quarantines = [Quarantine(Clock()) for _ in range(count)]
-        self.news = [CrashGossip(q, self.announce, lambda: 1) for q in self.quarantines]
+        self.gossips = [
+            CrashGossip(q, self.announce, lambda: 1) for q in self.quarantines
+        ]
 
-    def announce(self, marks):
-        for news in self.news:
-            for mark in marks:
-                news.receive(mark)
+    def announce(self, items):
+        for gossip in self.gossips:
+            for item in items:
+                gossip.receive(item)
 
 
-class TestNews:
-    def test_all_nodes_know_what_each_has_seen(self):
+class TestGossip:
+    def test_all_nodes_know_the_crashes_that_each_has_seen(self):
         fleet = Fleet(4)
-        for number, news in enumerate(fleet.news[:MAX_CRASHES]):
-            news.announce_crash(
+        for number, gossip in enumerate(fleet.gossips[:MAX_CRASHES]):
+            gossip.announce_crash(
                 ServerIncarnation(BackendId("an id: x/1"), number), [POISON]
             )
         assert all(
             quarantine.is_quarantined(POISON) for quarantine in fleet.quarantines
         )
-        fleet.news[0].announce_success(POISON)
+        fleet.gossips[0].announce_success(POISON)
         assert not any(
             quarantine.is_suspect(POISON) for quarantine in fleet.quarantines
         )
 
     @pytest.mark.parametrize("name", ["", "x", "x y z", "x 1"])
-    def test_marks_that_cannot_be_read_are_nothing(self, name):
+    def test_invalid_gossip_items_are_ignored(self, name):
         fleet = Fleet(1)
         for kind in (CRASH_KIND, SUCCESS_KIND, "failing"):
             fleet.announce([GossipItem(kind, name, 1)])
@@ -225,40 +231,42 @@
 
 
 class TestNeighbours:
-    """Engines that run many requests, and lose them all when one of these ends them."""
+    """Engines that run many requests, all of which are lost when one crashes them."""
 
     ENGINES = 5
-    BESIDE = 12
+    NEIGHBOURS = 12
 
-    def day(self, seed):
-        """Return the engines ended, and the proper requests that were held."""
+    def simulate(self, seed):
+        """Return how many engines crashed and how many harmless requests were held."""
         draw = random.Random(seed)
         clock = Clock()
         quarantine = Quarantine(clock)
-        waiting = [Fingerprint(f"proper-{number}") for number in range(self.BESIDE)]
-        ended = 0
-        refused = set()
-        while ended < 3 * MAX_CRASHES and not quarantine.is_quarantined(POISON):
+        waiting = [Fingerprint(f"proper-{number}") for number in range(self.NEIGHBOURS)]
+        crashes = 0
+        quarantined = set()
+        while crashes < 3 * MAX_CRASHES and not quarantine.is_quarantined(POISON):
             clock.now += draw.uniform(0.1, 3.0)
-            place_of = {r: draw.randrange(self.ENGINES) for r in [POISON, *waiting]}
-            broken = place_of[POISON]
-            for request, place in place_of.items():
-                if place == broken:
-                    quarantine.record_crash(request, life(ended))
+            engine_by_request = {
+                r: draw.randrange(self.ENGINES) for r in [POISON, *waiting]
+            }
+            crashed_engine = engine_by_request[POISON]
+            for request, engine in engine_by_request.items():
+                if engine == crashed_engine:
+                    quarantine.record_crash(request, incarnation(crashes))
                 else:
                     quarantine.clear(request)
-            ended += 1
-            refused |= {r for r in waiting if quarantine.is_quarantined(r)}
-            # Those that were served leave, and others come.
+            crashes += 1
+            quarantined |= {r for r in waiting if quarantine.is_quarantined(r)}
+            # Requests that were served are replaced by new ones.
             waiting = [
                 r
-                if place_of[r] == broken
-                else Fingerprint(f"proper-{seed}-{ended}-{n}")
+                if engine_by_request[r] == crashed_engine
+                else Fingerprint(f"proper-{seed}-{crashes}-{n}")
                 for n, r in enumerate(waiting)
             ]
-        return ended, len(refused)
+        return crashes, len(quarantined)
 
-    def test_few_engines_end_and_hardly_a_proper_request_is_held(self):
-        days = [self.day(seed) for seed in range(500)]
-        assert max(ended for ended, _ in days) <= MAX_CRASHES + 1
-        assert sum(refused for _, refused in days) <= len(days) / 20
+    def test_few_engines_crash_and_hardly_any_harmless_request_is_held(self):
+        runs = [self.simulate(seed) for seed in range(500)]
+        assert max(crashes for crashes, _ in runs) <= MAX_CRASHES + 1
+        assert sum(quarantined for _, quarantined in runs) <= len(runs) / 20
--- a/packages/node/tests/test_warm_up.py
+++ b/packages/node/tests/test_warm_up.py
@@ -1,4 +1,4 @@
-"""What cold servers get, summed over all nodes."""
+"""Tests for the rate of requests to cold servers, over all nodes."""
 
 import asyncio
 import random
@@ -23,11 +23,11 @@
 from support.clock import Clock
 
 READERS = "readers"
-# The users' figures: a cold engine bears 9.1 requests a second and ends well above.
+# A cold engine can take 9.1 requests per second and crashes well above that.
 PER_S = 9.1
 BOUNDS = WarmUpBounds(ratio=1.5, slack=5.0)
-MOST_PER_S = 9.1 * 1.5 + 5.0
-LIFE = ServerIncarnation(BackendId("e1"), 1)
+MAX_PER_S = 9.1 * 1.5 + 5.0
+INCARNATION = ServerIncarnation(BackendId("e1"), 1)
 
 
 def member(number, state=MemberState.ALIVE):
@@ -44,19 +44,19 @@
 
 
 def permits_of(number, known, clock, seeds=("seed",)):
-    """Return the permits of a node that knows of some members."""
+    """Return the permits of a node that knows some members."""
     return WarmUpPermits(
         lambda: member(number), lambda: known, seeds, RATES, lambda: clock.now
     )
 
 
 def is_cut(one, other):
-    """Return whether a cut parts the first ten nodes from the others."""
+    """Return whether a partition separates two nodes: the first ten from the others."""
     return (one < 10) != (other < 10)
 
 
-def most_in_a_second(times):
-    """Return the most of some times that lie within any span of a second."""
+def max_in_a_second(times):
+    """Return the maximum number of times within any span of a second."""
     times = sorted(times)
     return max(
         (sum(at <= t < at + 1.0 for t in times) for at in times),
@@ -64,17 +64,17 @@
     )
 
 
-class TestPace:
-    def test_it_lets_go_evenly(self):
-        pace = RateLimiter(per_s=4.0, now=0.0)
-        gone = [t / 100 for t in range(300) if pace.acquire(t / 100) == 0.0]
-        assert most_in_a_second(gone) <= 5
-        assert len(gone) == 12
+class TestRateLimiter:
+    def test_it_passes_requests_evenly(self):
+        limiter = RateLimiter(per_s=4.0, now=0.0)
+        passed = [t / 100 for t in range(300) if limiter.acquire(t / 100) == 0.0]
+        assert max_in_a_second(passed) <= 5
+        assert len(passed) == 12
 
-    def test_it_tells_when_the_next_may_go(self):
-        pace = RateLimiter(per_s=4.0, now=0.0)
-        assert pace.acquire(0.0) == 0.0
-        assert pace.acquire(0.1) == pytest.approx(0.15)
+    def test_it_returns_when_the_next_request_may_pass(self):
+        limiter = RateLimiter(per_s=4.0, now=0.0)
+        assert limiter.acquire(0.0) == 0.0
+        assert limiter.acquire(0.1) == pytest.approx(0.15)
 
     @given(
         per_s=st.floats(0.0, 500.0),
@@ -85,25 +85,25 @@
     def test_two_owners_together_keep_within_the_bound(self, per_s, ratio, slack):
         bounds = WarmUpBounds(ratio, slack)
         permitted = permitted_per_s(per_s, bounds)
-        # Each lets one more go than its rate, and some arrive together.
+        # Each passes one request more than its rate, and some arrive together.
         arriving = 2 * (permitted * 1.35 + 1) if permitted else 0.0
         assert arriving <= bounds.max_per_s(per_s) + 1e-6
         assert permitted <= per_s
 
 
 class TestOwners:
-    def test_one_node_of_all_hands_out_permits(self):
+    def test_one_node_of_all_issues_permits(self):
         clock = Clock()
         nodes = [
             permits_of(n, [member(m) for m in range(65) if m != n], clock)
             for n in range(65)
         ]
         clock.now += SETTLE_S
-        granted = [node.issue(LIFE, READERS).granted for node in nodes]
+        granted = [node.issue(INCARNATION, READERS).granted for node in nodes]
         assert sum(granted) == 1
 
-    # Guards against an owner on each side of a cut.
-    def test_members_out_of_reach_keep_their_place(self):
+    # Guards against an owner on each side of a partition.
+    def test_unreachable_members_keep_their_place(self):
         clock = Clock()
         nodes = []
         for own in range(20):
@@ -114,39 +114,39 @@
             ]
             nodes.append(permits_of(own, others, clock))
         clock.now += SETTLE_S
-        assert sum(node.issue(LIFE, READERS).granted for node in nodes) == 1
+        assert sum(node.issue(INCARNATION, READERS).granted for node in nodes) == 1
 
-    def test_one_that_has_left_owns_nothing(self):
+    def test_a_node_that_has_left_owns_nothing(self):
         clock = Clock()
         left = [member(m, MemberState.LEFT) for m in range(1, 30)]
         permits = permits_of(0, left, clock)
         clock.now += SETTLE_S
-        assert permits.issue(LIFE, READERS).granted
+        assert permits.issue(INCARNATION, READERS).granted
 
-    # Guards against nodes that start alone and each take themselves for the owner.
-    def test_one_that_has_heard_of_nobody_hands_out_none(self):
+    # Guards against nodes that start alone and each consider themselves the owner.
+    def test_a_node_that_knows_no_other_issues_none(self):
         clock = Clock()
         permits = permits_of(0, [], clock)
         clock.now += 100.0
-        assert not permits.issue(LIFE, READERS).granted
+        assert not permits.issue(INCARNATION, READERS).granted
 
-    def test_the_only_node_of_a_deployment_does(self):
+    def test_the_only_node_of_a_deployment_issues_permits(self):
         clock = Clock()
         permits = permits_of(0, [], clock, seeds=())
         clock.now += SETTLE_S
-        assert permits.issue(LIFE, READERS).granted
+        assert permits.issue(INCARNATION, READERS).granted
 
-    # Guards against a second full share after the owner is restarted.
-    def test_one_that_has_just_started_hands_out_none(self):
+    # Guards against a second full allowance after the owner restarts.
+    def test_a_node_that_has_just_started_issues_none(self):
         clock = Clock()
         permits = permits_of(0, [], clock, seeds=())
-        # A pace counts for a second, and nodes agree on each other in less.
+        # A rate limiter matters for a second, and nodes discover each other in less.
         clock.now += 1.0
-        assert not permits.issue(LIFE, READERS).granted
+        assert not permits.issue(INCARNATION, READERS).granted
 
 
 class Fleet:
-    """Nodes that ask each other for permits, with news of members lost at random."""
+    """Nodes that request permits from each other; member updates are lost at random."""
 
     def __init__(self, nodes, draw):
         self.clock = Clock()
@@ -155,7 +155,7 @@
             {m: member(m) for m in range(nodes) if m != n} for n in range(nodes)
         ]
         self.permits = [self._start(n) for n in range(nodes)]
-        self.sent_at_by_life = {}
+        self.sent_at_by_incarnation = {}
 
     def restart(self, number):
         self.permits[number] = self._start(number)
@@ -169,14 +169,14 @@
             lambda: self.clock.now,
         )
 
-    def lose_news(self, share):
-        """Have nodes believe others dead, and forget some that have just come."""
+    def lose_updates(self, share):
+        """Mark a random share of the members dead in each node's view."""
         for known in self.known:
             for other in known:
                 if self.draw.random() < share:
                     known[other] = member(other, MemberState.DEAD)
 
-    async def send(self, number, life):
+    async def send(self, number, incarnation):
         """Have a node send a request to a cold server, if it may."""
         admission = WarmUpAdmission(
             self.permits[number],
@@ -186,49 +186,55 @@
             lambda kind: None,
         )
         entry = HostEntry(
-            life.id, READERS, "s:1", DataCentre("a"), started=life.started
+            incarnation.id, READERS, "s:1", DataCentre("a"), started=incarnation.started
         )
         admission.is_bounded = lambda server: True
         server = Backend(entry)
         if (await admission.admit(server)).granted:
             late_s = self.draw.random() * 0.3
-            self.sent_at_by_life.setdefault(life, []).append(self.clock.now + late_s)
+            self.sent_at_by_incarnation.setdefault(incarnation, []).append(
+                self.clock.now + late_s
+            )
 
-    async def _ask(self, owner, life, service):
+    async def _ask(self, owner, incarnation, service):
         if self.draw.random() < 0.1:
             raise PeerUnreachable(owner.internal, "lost")
-        return self.permits[int(owner.id.removeprefix("node-"))].issue(life, service)
+        return self.permits[int(owner.id.removeprefix("node-"))].issue(
+            incarnation, service
+        )
 
 
 class TestSumOverNodes:
-    # Guards against a rush on a cold server from nodes that do not see each other.
+    # Guards against a burst to a cold server from nodes that do not see each other.
     @pytest.mark.parametrize("seed", range(12))
-    async def test_no_cold_server_gets_more_than_it_bears(self, seed):
+    async def test_no_cold_server_gets_more_than_its_limit(self, seed):
         draw = random.Random(seed)
         fleet = Fleet(draw.choice([3, 9, 65]), draw)
-        lives = [ServerIncarnation(BackendId(f"e{n}"), 1) for n in range(4)]
+        incarnations = [ServerIncarnation(BackendId(f"e{n}"), 1) for n in range(4)]
         fleet.clock.now += SETTLE_S
         for step in range(1200):
             fleet.clock.now += 0.005
             if step % 100 == 50:
-                fleet.lose_news(draw.random() * 0.5)
+                fleet.lose_updates(draw.random() * 0.5)
             if step % 150 == 75:
                 fleet.restart(draw.randrange(len(fleet.permits)))
             for _ in range(draw.randrange(4)):
-                await fleet.send(draw.randrange(len(fleet.permits)), draw.choice(lives))
-        assert fleet.sent_at_by_life
-        for times in fleet.sent_at_by_life.values():
-            assert most_in_a_second(times) <= MOST_PER_S
-
-    # Guards against a share that nobody can use: all nodes ask, one counts.
-    async def test_many_nodes_together_use_what_it_bears(self):
+                await fleet.send(
+                    draw.randrange(len(fleet.permits)), draw.choice(incarnations)
+                )
+        assert fleet.sent_at_by_incarnation
+        for times in fleet.sent_at_by_incarnation.values():
+            assert max_in_a_second(times) <= MAX_PER_S
+
+    # Guards against an allowance divided into shares that are too small to use.
+    async def test_many_nodes_together_use_most_of_the_limit(self):
         draw = random.Random(1)
         fleet = Fleet(65, draw)
         fleet.clock.now += SETTLE_S
         for _ in range(600):
             fleet.clock.now += 0.005
-            await fleet.send(draw.randrange(65), LIFE)
-        rate = len(fleet.sent_at_by_life[LIFE]) / 3.0
+            await fleet.send(draw.randrange(65), INCARNATION)
+        rate = len(fleet.sent_at_by_incarnation[INCARNATION]) / 3.0
         assert rate >= 0.8 * permitted_per_s(PER_S, BOUNDS)
 
 
@@ -249,29 +255,29 @@
         server.apply_entry(entry)
         return server
 
-    async def test_a_warm_server_needs_none(self):
+    async def test_a_warm_server_needs_no_permit(self):
         assert (await self.admission().admit(self.server(0.0))).granted
 
-    async def test_nor_does_a_cold_one_without_a_bound(self):
+    async def test_a_cold_server_without_a_limit_needs_no_permit(self):
         assert (await self.admission(per_s=0.0).admit(self.server(3.0))).granted
 
-    # Guards against requests that are sent since the owner cannot say no.
-    async def test_no_answer_is_no_permit(self):
-        async def ask_owner(owner, life, service):
+    # Guards against requests that are sent because the owner cannot refuse them.
+    async def test_there_is_no_permit_if_the_owner_does_not_answer(self):
+        async def ask_owner(owner, incarnation, service):
             raise PeerUnreachable(owner.internal, "silent")
 
         admission = self.admission(ask_owner)
         admission._permits._own = lambda: member(5)
         assert not (await admission.admit(self.server(3.0))).granted
 
-    # Guards against a server that is shut out by a mistaken entry.
-    async def test_an_absurd_time_is_not_believed(self):
+    # Guards against a server that is excluded by a wrong entry.
+    async def test_an_excessive_warm_up_time_is_capped(self):
         server = self.server(1e9)
         now = asyncio.get_running_loop().time()
         assert server.is_cold(now)
         assert not server.is_cold(now + 61.0)
 
-    async def test_a_later_entry_says_that_it_is_warm(self):
+    async def test_a_later_entry_ends_the_warm_up(self):
         server = self.server(3.0)
         server.apply_entry(HostEntry(BackendId("e9"), READERS, "s:1", DataCentre("a")))
         assert not server.is_cold(asyncio.get_running_loop().time())
--- a/tests/support/retry_budget.py
+++ b/tests/support/retry_budget.py
@@ -1,4 +1,4 @@
-"""Nodes before failing servers, and by how much repeats pass their budget."""
+"""Nodes with failing servers, and by how much retries exceed their budget."""
 
 import asyncio
 from bisect import bisect_left, bisect_right
@@ -8,7 +8,7 @@
 
 from .entry import EntryDeployment, until
 
-__all__ = ["FailingServers", "worst_excess"]
+__all__ = ["FailingServersDeployment", "worst_excess"]
 
 SERVICE = "desk"
 TARGET = "/safe/x"
@@ -16,8 +16,8 @@
 MANY_CALLS = 10_000
 
 
-class FailingServers(EntryDeployment):
-    """Nodes whose requests to one service all fail, and may be repeated once each.
+class FailingServersDeployment(EntryDeployment):
+    """Nodes whose requests to one service all fail, and may be retried once each.
 
     ``sent_at`` are the times at which clients sent their requests, in seconds.
     """
@@ -26,7 +26,7 @@
         super().__init__(nodes)
         self.sent_at: list[float] = []
 
-    async def __aenter__(self) -> "FailingServers":
+    async def __aenter__(self) -> "FailingServersDeployment":
         """Start everything and wait until the nodes are ready."""
         await super().__aenter__()
         for engine in self.engines_by_service[SERVICE]:
@@ -34,7 +34,7 @@
         return self
 
     async def send(self, node: int, count: int) -> None:
-        """Have clients send requests to a node, one after the other."""
+        """Send requests to a node, one after the other."""
         for _ in range(count):
             self.sent_at.append(asyncio.get_running_loop().time())
             await self.ask(TARGET, node)
@@ -48,15 +48,15 @@
         await until(lambda: node.ready)
 
     def excess(self) -> float:
-        """Return by how much repeats passed the budget in the worst window."""
+        """Return by how much retries exceeded the budget in the worst window."""
         bounds = self.bounds
         runs = self.runs(SERVICE)
         first_at: dict[str, float] = {}
         for run in sorted(runs, key=lambda run: run.at):
             first_at.setdefault(run.request_id, run.at)
-        repeats_at = sorted(run.at for run in runs if run.at > first_at[run.request_id])
+        retries_at = sorted(run.at for run in runs if run.at > first_at[run.request_id])
         return worst_excess(
-            repeats_at,
+            retries_at,
             self.sent_at,
             bounds.retry_ratio,
             bounds.retry_slack,
@@ -65,28 +65,28 @@
 
 
 def worst_excess(
-    repeats_at: list[float],
+    retries_at: list[float],
     sent_at: list[float],
     ratio: float,
     slack: float,
     window_s: float,
 ) -> float:
-    """Return by how much repeats pass their budget in the worst window.
+    """Return by how much retries exceed their budget in the worst window.
 
-    Both lists of times are sorted and in seconds. In any window repeats may make up
+    Both lists of times are sorted and in seconds. In any window retries may make up
     ``ratio`` of the requests and ``slack`` more; the requests are those of that window,
     of the one half a window before or of the one before it, whichever has most.
     """
     return max(
         (
-            _between(repeats_at, since, since + window_s)
+            _between(retries_at, since, since + window_s)
             - ratio
             * max(
                 _between(sent_at, since - back_s, since - back_s + window_s)
                 for back_s in (0.0, window_s / 2, window_s)
             )
             - slack
-            for since in repeats_at
+            for since in retries_at
         ),
         default=-slack,
     )
