--- a/packages/node/src/eelgrass_node/process/quarantine.py
+++ b/packages/node/src/eelgrass_node/process/quarantine.py
@@ -181,7 +181,7 @@
         return crashes
 
     def _others_crashed(self, suspect: _Suspect, at: float) -> bool:
-        """Return whether a server without the suspect crashed at the same time."""
+        """Return whether a server that did not run a suspect crashed at that time."""
         for incarnation, requests in self._requests_by_life.items():
             if incarnation in suspect.time_by_server:
                 continue
