--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -28,7 +28,7 @@
 from eelgrass_coordination.ids import new_id
 from eelgrass_coordination.members import MemberTable
 from eelgrass_node.process.backends import Backends, HostEntry
-from eelgrass_node.version import check_result
+from eelgrass_node.version import validate_snapshot
 from eelgrass_standins.platform import RateLimit, TableStandIn
 from eelgrass_standins.ports import free_addresses
 from eelgrass_standins.samples import DATA_CENTRES
@@ -166,7 +166,7 @@
         after = apply_change(snapshot, change)
         spent[0] += time.perf_counter() - began
         began = time.perf_counter()
-        assert check_result(snapshot, after) == []
+        assert validate_snapshot(snapshot, after) == []
         spent[1] += time.perf_counter() - began
         snapshot = after
     print(
--- a/packages/ctl/src/eelgrass_ctl/commands/claims.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/claims.py
@@ -2,7 +2,7 @@
 
 from ..client import call, target_of
 from ..exceptions import ExitCode
-from ..output import print_list, shown_time
+from ..output import format_time, print_list
 
 __all__ = ["claims"]
 
@@ -31,6 +31,6 @@
         claim["key"],
         claim["state"],
         claim["owner"],
-        shown_time(claim["deadline_at"]),
+        format_time(claim["deadline_at"]),
         claim["note"],
     )
--- a/packages/ctl/src/eelgrass_ctl/commands/crashes.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/crashes.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from ..crash_rows import RequestEnds, clear_request, read_ends
+from ..crash_rows import RequestCrashes, clear_request, read_crashes
 from ..exceptions import ExitCode
-from ..output import print_list, shown_time
+from ..output import format_time, print_list
 
 __all__ = ["crashes"]
 
@@ -26,15 +26,15 @@
         cleared = asyncio.run(clear_request(store, clear))
         print(f"{cleared} ends under request {clear} are forgotten.")
         return ExitCode.DONE
-    print_list(asyncio.run(read_ends(store)), HEAD, _row, json)
+    print_list(asyncio.run(read_crashes(store)), HEAD, _row, json)
     return ExitCode.DONE
 
 
-def _row(ends: RequestEnds) -> tuple:
+def _row(ends: RequestCrashes) -> tuple:
     return (
         ends.request,
         len(ends.servers),
-        "yes" if ends.is_held else "no",
-        shown_time(ends.last_ms / MS_PER_S),
+        "yes" if ends.is_quarantined else "no",
+        format_time(ends.last_ms / MS_PER_S),
         " ".join(ends.servers),
     )
--- a/packages/ctl/src/eelgrass_ctl/commands/explain.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/explain.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from ..exceptions import ExitCode, LogUnreadable
-from ..story import story_of
+from ..timeline import timeline_of
 
 __all__ = ["explain"]
 
@@ -16,7 +16,7 @@
     :param request_id: the id that the caller sent
     :param logs: log files of the hosts; standard input where none is given
     """
-    story = story_of(request_id, _lines(logs))
+    story = timeline_of(request_id, _lines(logs))
     if not story:
         print(f"No line tells of request {request_id}. Give the logs of all hosts.")
         return ExitCode.REFUSED
--- a/packages/ctl/src/eelgrass_ctl/commands/history.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/history.py
@@ -2,7 +2,7 @@
 
 from ..client import call, target_of
 from ..exceptions import ExitCode
-from ..output import print_list, shown_time
+from ..output import format_time, print_list
 
 __all__ = ["history"]
 
@@ -27,7 +27,7 @@
 def _row(change: dict) -> tuple:
     return (
         change["revision"],
-        shown_time(change["at"]),
+        format_time(change["at"]),
         change["author"],
         change["change_id"],
         ", ".join(map(_described, change["items"])),
--- a/packages/ctl/src/eelgrass_ctl/commands/hosts.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/hosts.py
@@ -10,10 +10,10 @@
     EvacuationView,
     HostGroup,
     HostReview,
-    evacuations,
-    groups,
-    matching,
+    filter_by_address,
+    group_hosts,
     review,
+    summarise_evacuations,
 )
 from ..output import print_json, print_table
 
@@ -63,10 +63,12 @@
     :param each: give each node a line, however many there are
     :param json: print JSON for scripts
     """
-    found = matching(asyncio.run(read_hosts([*metrics, *_listed(file)])), match)
+    found = filter_by_address(
+        asyncio.run(read_hosts([*metrics, *_listed(file)])), match
+    )
     newest = asyncio.run(read_store(store)) if store else None
     reviews = review(found, None if newest is None else newest.version)
-    emptied = evacuations(found, () if newest is None else newest.evacuated)
+    emptied = summarise_evacuations(found, () if newest is None else newest.evacuated)
     if json:
         shown = {"hosts": found, "store": newest, "reviews": _needing(reviews)}
         print_json({**shown, "evacuations": emptied})
@@ -85,7 +87,7 @@
         print_table(HEAD, (_row(reviewed.host) for reviewed in reviews))
     else:
         others = [reviewed for reviewed in reviews if not reviewed.reasons]
-        print_table(GROUP_HEAD, map(_group_row, groups(others)))
+        print_table(GROUP_HEAD, map(_group_row, group_hosts(others)))
     for reviewed in needing:
         print(f"Look at {reviewed.host.address}: {'; '.join(reviewed.reasons)}.")
     if newest is not None:
--- a/packages/ctl/src/eelgrass_ctl/crash_rows.py
+++ b/packages/ctl/src/eelgrass_ctl/crash_rows.py
@@ -15,10 +15,10 @@
 
 from .exceptions import StoreUnreadable
 
-__all__ = ["RequestEnds", "clear_request", "read_ends"]
+__all__ = ["RequestCrashes", "clear_request", "read_crashes"]
 
 
-class RequestEnds(msgspec.Struct, frozen=True):
+class RequestCrashes(msgspec.Struct, frozen=True):
     """The servers that ended under a request, the first one first.
 
     ``last_ms`` is the time of the last end, in Unix milliseconds.
@@ -29,12 +29,12 @@
     last_ms: int
 
     @property
-    def is_held(self) -> bool:
+    def is_quarantined(self) -> bool:
         """Whether nodes send the request to no server, unless others explain it."""
         return len(self.servers) >= MAX_CRASHES
 
 
-async def read_ends(address: str) -> list[RequestEnds]:
+async def read_crashes(address: str) -> list[RequestCrashes]:
     """Read the store, requests with most ends first; raises StoreUnreadable."""
     async with _opened(address) as store:
         changes = await store.read_table(CRASHES_TABLE)
@@ -73,6 +73,6 @@
             yield row.key, decode_crash(row.value or b"")
 
 
-def _summed_up(request: str, ends: list[Crash]) -> RequestEnds:
+def _summed_up(request: str, ends: list[Crash]) -> RequestCrashes:
     ends.sort(key=lambda end: end.at_ms)
-    return RequestEnds(request, tuple(e.server.id for e in ends), ends[-1].at_ms)
+    return RequestCrashes(request, tuple(e.server.id for e in ends), ends[-1].at_ms)
--- a/packages/ctl/src/eelgrass_ctl/host_metrics.py
+++ b/packages/ctl/src/eelgrass_ctl/host_metrics.py
@@ -19,7 +19,13 @@
 
 from .exceptions import StoreUnreadable
 
-__all__ = ["Emptied", "HostMetrics", "StoreState", "read_hosts", "read_store"]
+__all__ = [
+    "EvacuatedDataCentre",
+    "HostMetrics",
+    "StoreState",
+    "read_hosts",
+    "read_store",
+]
 
 # A host that does not answer within this, in seconds, is shown as silent.
 SCRAPE_S = 2.0
@@ -27,7 +33,7 @@
 HTTP_OK = 200
 
 
-class Emptied(msgspec.Struct, frozen=True):
+class EvacuatedDataCentre(msgspec.Struct, frozen=True):
     """A data centre that a node sends no new work to, and what it still has there."""
 
     data_centre: str
@@ -49,7 +55,7 @@
     pieces_waiting: int = 0
     refusals: int = 0
     retries: int = 0
-    evacuated: tuple[Emptied, ...] = ()
+    evacuated: tuple[EvacuatedDataCentre, ...] = ()
 
 
 class StoreState(msgspec.Struct, frozen=True):
@@ -113,7 +119,9 @@
     )
 
 
-def _evacuated(samples: list[tuple[str, dict, float]]) -> tuple[Emptied, ...]:
+def _evacuated(
+    samples: list[tuple[str, dict, float]],
+) -> tuple[EvacuatedDataCentre, ...]:
     def by_data_centre(name: str) -> dict[str, float]:
         return {
             labels["data_centre"]: value
@@ -123,7 +131,7 @@
 
     in_flight = by_data_centre("evacuated_in_flight")
     return tuple(
-        Emptied(place, since_s, int(in_flight.get(place, 0)))
+        EvacuatedDataCentre(place, since_s, int(in_flight.get(place, 0)))
         for place, since_s in sorted(by_data_centre("evacuated_seconds").items())
     )
 
--- a/packages/ctl/src/eelgrass_ctl/host_review.py
+++ b/packages/ctl/src/eelgrass_ctl/host_review.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .host_metrics import Emptied, HostMetrics
+from .host_metrics import EvacuatedDataCentre, HostMetrics
 
 T = TypeVar("T")
 
@@ -15,9 +15,9 @@
     "EvacuationView",
     "HostGroup",
     "HostReview",
-    "evacuations",
-    "groups",
-    "matching",
+    "summarise_evacuations",
+    "group_hosts",
+    "filter_by_address",
     "review",
 ]
 
@@ -55,7 +55,7 @@
     in_flight: int
 
 
-def evacuations(
+def summarise_evacuations(
     hosts: Sequence[HostMetrics], wanted: Iterable[str]
 ) -> list[EvacuationView]:
     """Return the data centres that are emptied, by the store or by any node."""
@@ -65,7 +65,9 @@
     return [_evacuation(place, told, len(answering)) for place in sorted(places)]
 
 
-def _evacuation(place: str, told: Sequence[Emptied], nodes: int) -> EvacuationView:
+def _evacuation(
+    place: str, told: Sequence[EvacuatedDataCentre], nodes: int
+) -> EvacuationView:
     here = [emptied for emptied in told if emptied.data_centre == place]
     return EvacuationView(
         data_centre=place,
@@ -76,7 +78,7 @@
     )
 
 
-def matching(hosts: Iterable[HostMetrics], pattern: str) -> list[HostMetrics]:
+def filter_by_address(hosts: Iterable[HostMetrics], pattern: str) -> list[HostMetrics]:
     """Return the nodes whose address fits a pattern such as ``10.2.*``."""
     return [host for host in hosts if fnmatchcase(host.address, pattern)]
 
@@ -99,7 +101,7 @@
     return sorted(reviews, key=_urgency)
 
 
-def groups(reviews: Iterable[HostReview]) -> list[HostGroup]:
+def group_hosts(reviews: Iterable[HostReview]) -> list[HostGroup]:
     """Return the nodes that need no look, put together, the largest group first."""
     by_state: dict[tuple[int, int, int], list[HostMetrics]] = {}
     for reviewed in reviews:
--- a/packages/ctl/src/eelgrass_ctl/output.py
+++ b/packages/ctl/src/eelgrass_ctl/output.py
@@ -7,7 +7,7 @@
 import msgspec
 import yaml
 
-__all__ = ["print_json", "print_list", "print_table", "print_yaml", "shown_time"]
+__all__ = ["print_json", "print_list", "print_table", "print_yaml", "format_time"]
 
 
 def print_json(value: Any) -> None:
@@ -45,6 +45,6 @@
         print_table(head, map(row, found))
 
 
-def shown_time(timestamp: float) -> str:
+def format_time(timestamp: float) -> str:
     """Return a time in seconds since 1970 as people and scripts read it."""
     return datetime.fromtimestamp(timestamp, UTC).isoformat("T", "seconds")
--- a/packages/ctl/src/eelgrass_ctl/story.py
+++ b/packages/ctl/src/eelgrass_ctl/timeline.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-__all__ = ["LogLine", "story_of"]
+__all__ = ["LogLine", "timeline_of"]
 
 # What every line carries and nobody asks for.
 _FRAME = frozenset(("message", "timestamp", "task_uuid", "task_level", "message_type"))
@@ -25,7 +25,7 @@
         return f"{self.timestamp - first:8.3f}  {self.origin}  {self.sentence}  {shown}"
 
 
-def story_of(request_id: str, lines: Iterable[str]) -> list[LogLine]:
+def timeline_of(request_id: str, lines: Iterable[str]) -> list[LogLine]:
     """Return the lines that touch a request, in the order of their time."""
     found = [line for line in map(_parsed, lines) if _touches(line, request_id)]
     return sorted(found, key=lambda line: line.timestamp)
--- a/packages/ctl/tests/test_crashes.py
+++ b/packages/ctl/tests/test_crashes.py
@@ -6,7 +6,7 @@
 import pytest
 
 from eelgrass_coordination.ids import BackendId
-from eelgrass_ctl.crash_rows import RequestEnds, clear_request, read_ends
+from eelgrass_ctl.crash_rows import RequestCrashes, clear_request, read_crashes
 from eelgrass_ctl.exceptions import ExitCode, StoreUnreadable
 from eelgrass_node.process.backends import ServerIncarnation
 from eelgrass_node.process.crash_detector import Fingerprint
@@ -36,8 +36,8 @@
 
 class TestCrashes:
     async def test_requests_with_most_ends_come_first(self, entry):
-        found = await read_ends(entry.store_address)
-        assert [(e.request, len(e.servers), e.is_held) for e in found] == [
+        found = await read_crashes(entry.store_address)
+        assert [(e.request, len(e.servers), e.is_quarantined) for e in found] == [
             (HELD, 3, True),
             (SUSPECT, 1, False),
         ]
@@ -54,12 +54,14 @@
     async def test_a_store_that_is_gone_is_said_with_a_remedy(self):
         [address] = free_addresses(1)
         with pytest.raises(StoreUnreadable):
-            await read_ends(address)
+            await read_crashes(address)
 
 
 class TestCommand:
     def test_it_shows_what_is_held_and_what_was_cleared(self, monkeypatch, capsys):
-        ends = RequestEnds("a1", (BackendId("e1"), BackendId("e2")), 1_700_000_000_000)
+        ends = RequestCrashes(
+            "a1", (BackendId("e1"), BackendId("e2")), 1_700_000_000_000
+        )
 
         async def read(address):
             return [ends]
@@ -67,7 +69,7 @@
         async def clear(address, request):
             return 2
 
-        monkeypatch.setattr(crashes_command, "read_ends", read)
+        monkeypatch.setattr(crashes_command, "read_crashes", read)
         monkeypatch.setattr(crashes_command, "clear_request", clear)
         run = crashes_command.crashes
         assert run("s:1") == run("s:1", json=True) == ExitCode.DONE
--- a/packages/ctl/tests/test_explain.py
+++ b/packages/ctl/tests/test_explain.py
@@ -4,7 +4,7 @@
 
 from eelgrass_ctl.cli import run
 from eelgrass_ctl.exceptions import ExitCode
-from eelgrass_ctl.story import story_of
+from eelgrass_ctl.timeline import timeline_of
 
 
 def line(at, origin, message, **fields):
@@ -24,7 +24,7 @@
 
 class TestStory:
     def test_lines_of_all_hosts_in_order(self):
-        story = story_of("r1", LINES)
+        story = timeline_of("r1", LINES)
         assert [found.origin for found in story] == ["host-2", "host-1"]
         assert story[1].fields == {"id": "r1", "reason": "stages: late"}
 
--- a/packages/ctl/tests/test_hosts.py
+++ b/packages/ctl/tests/test_hosts.py
@@ -6,13 +6,13 @@
 from eelgrass_ctl.commands import hosts as hosts_command
 from eelgrass_ctl.exceptions import AddressesUnreadable, ExitCode, StoreUnreadable
 from eelgrass_ctl.host_metrics import (
-    Emptied,
+    EvacuatedDataCentre,
     HostMetrics,
     StoreState,
     read_hosts,
     read_store,
 )
-from eelgrass_ctl.host_review import groups, review
+from eelgrass_ctl.host_review import group_hosts, review
 from eelgrass_node.entry_gauges import entry_gauges
 from eelgrass_standins.ports import free_addresses
 from support.entry import EntryDeployment, configuration, until
@@ -119,7 +119,7 @@
 
     # Guards against an evacuation that some nodes have missed, unseen.
     def test_an_evacuation_is_told_with_where_it_is_in_force(self, capsys):
-        emptied = (Emptied("north", 12.0, 3),)
+        emptied = (EvacuatedDataCentre("north", 12.0, 3),)
         self.hosts = [
             HostMetrics(
                 f"10.1.0.{n}:1", version=3, store_reachable=True, evacuated=emptied
@@ -198,5 +198,5 @@
 
     def test_groups_add_up_what_waits_and_what_was_refused(self):
         hosts = [self.host(f"{n}:1", pieces_waiting=2, refusals=5) for n in "abc"]
-        [group] = groups(review(hosts, 3))
+        [group] = group_hosts(review(hosts, 3))
         assert (group.hosts, group.pieces_waiting, group.refusals) == (3, 6, 15)
--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -293,7 +293,7 @@
 
     def _configuration_arrives(self) -> bool:
         table = configuration.OPERATOR_TABLE
-        since = self.store.arriving_since(table)
+        since = self.store.response_started_at(table)
         return since is not None or table in self.table_feed.arriving
 
     def _peer_addresses(self) -> list[str]:
--- a/packages/node/src/eelgrass_node/platform/configuration.py
+++ b/packages/node/src/eelgrass_node/platform/configuration.py
@@ -188,7 +188,7 @@
         kind=_KINDS[wire.kind],
         timeout_s=timeout_s,
         target_s=timeout_s if target_ms is None else target_ms / 1000,
-        gap_target_s=timeout_s if gap_ms is None else gap_ms / 1000,
+        inter_token_target_s=timeout_s if gap_ms is None else gap_ms / 1000,
         priority=wire.priority,
         services=services,
         max_attempts=max(1, wire.max_attempts),
--- a/packages/node/src/eelgrass_node/platform/store.py
+++ b/packages/node/src/eelgrass_node/platform/store.py
@@ -70,7 +70,7 @@
         # A spare one would go silent together with it and cost a second call, 0.6 s
         # and the pause after it.
         self._session_by_table: dict[str, aiohttp.ClientSession] = {}
-        self._arriving_since_by_table: dict[str, float] = {}
+        self._response_started_at_by_table: dict[str, float] = {}
         self.calls = 0
 
     async def read_table(self, table: str) -> TableChanges:
@@ -136,12 +136,12 @@
         if status != HTTP_OK:
             raise StoreUnavailable(path, f"status {status}")
 
-    def arriving_since(self, table: str) -> float | None:
+    def response_started_at(self, table: str) -> float | None:
         """Return when an answer that is not whole yet has begun; None without one.
 
         In seconds of the event loop's clock.
         """
-        return self._arriving_since_by_table.get(table)
+        return self._response_started_at_by_table.get(table)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -164,7 +164,7 @@
                 session, "GET", url, within_s, CONNECT_TIMEOUT_S, params=params
             ) as response:
                 now = asyncio.get_running_loop().time()
-                self._arriving_since_by_table[table] = now
+                self._response_started_at_by_table[table] = now
                 body = await response.read()
                 status = response.status
             if status == HTTP_GONE:
@@ -175,7 +175,7 @@
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.MsgspecError) as e:
             raise StoreUnavailable(path, repr(e)) from e
         finally:
-            self._arriving_since_by_table.pop(table, None)
+            self._response_started_at_by_table.pop(table, None)
 
 
 def _stored(row: _Row) -> StoredRow:
--- a/packages/node/src/eelgrass_node/process/changes.py
+++ b/packages/node/src/eelgrass_node/process/changes.py
@@ -19,7 +19,7 @@
 from ..connection.peer_calls import PeerCalls
 from ..exceptions import PeerUnreachable
 from ..log import Part, log
-from ..version import check_result
+from ..version import validate_snapshot
 from .configuration import ConfigurationSync, RevisionReply
 
 __all__ = ["ChangeReport", "Changes"]
@@ -57,7 +57,7 @@
     async def submit(self, change: Change) -> ChangeReport:
         """Commit a change and report where it is in force."""
         result = await self._change_log.propose(
-            change, self._configuration.catch_up, check_result, self._settle_s
+            change, self._configuration.catch_up, validate_snapshot, self._settle_s
         )
         if result.outcome is not ChangeOutcome.ACCEPTED:
             return ChangeReport(result)
--- a/packages/node/src/eelgrass_node/process/table_relay.py
+++ b/packages/node/src/eelgrass_node/process/table_relay.py
@@ -78,7 +78,7 @@
 class StoreReader(TableReader, Protocol):
     """What is needed of the store itself."""
 
-    def arriving_since(self, table: str) -> float | None:
+    def response_started_at(self, table: str) -> float | None:
         """Return when an answer that is not whole yet has begun; None without one."""
 
 
@@ -116,7 +116,7 @@
 
     def reads_from_store(self, table: str) -> bool:
         """Return whether this node has just read a table from the store, or does."""
-        since = self._store.arriving_since(table)
+        since = self._store.response_started_at(table)
         if since is not None and self._clock() - since <= ARRIVING_S:
             # Followers would read the same from the store, each over its own link.
             return True
--- a/packages/node/src/eelgrass_node/request/incoming_request.py
+++ b/packages/node/src/eelgrass_node/request/incoming_request.py
@@ -103,7 +103,7 @@
         if self.route.kind is not RouteKind.STREAM:
             return self.deadline
         route = self.route
-        wait_s = max(2.0, 4 * route.target_s, 8 * route.gap_target_s)
+        wait_s = max(2.0, 4 * route.target_s, 8 * route.inter_token_target_s)
         return min(self.deadline, self.incoming.arrived_at + wait_s)
 
     @property
--- a/packages/node/src/eelgrass_node/version/check.py
+++ b/packages/node/src/eelgrass_node/version/check.py
@@ -23,7 +23,7 @@
     parameter_set_name,
 )
 
-__all__ = ["check_result", "filled_in"]
+__all__ = ["validate_snapshot", "resolve_reference"]
 
 MAX_STAGES = 16
 MAX_DEADLINE_MS = 600_000
@@ -43,7 +43,7 @@
 }
 
 
-def check_result(before: Snapshot, after: Snapshot) -> list[Problem]:
+def validate_snapshot(before: Snapshot, after: Snapshot) -> list[Problem]:
     """Return the problems of ``after``, given that ``before`` has none."""
     return list(_problems(before, after))
 
@@ -237,13 +237,13 @@
         yield Problem(f"{field}.deadline_ms", "out of range", remedy)
     tokens = [s.max_tokens for s in template.stages if isinstance(s.max_tokens, str)]
     for reference in tokens:
-        value = filled_in(reference, template, parameters)
+        value = resolve_reference(reference, template, parameters)
         if not isinstance(value, int) or not 1 <= value <= MAX_TOKENS:
             remedy = f"give an integer from 1 to {MAX_TOKENS}"
             yield Problem(f"{field}.values.{reference[1:]}", "out of range", remedy)
 
 
-def filled_in(text: Any, template: Template, parameters: ParameterSet) -> Any:
+def resolve_reference(text: Any, template: Template, parameters: ParameterSet) -> Any:
     """Return the value that a stage's field refers to, or the field itself."""
     if not isinstance(text, str) or not text.startswith("$"):
         return text
--- a/packages/node/src/eelgrass_node/version/deployment.py
+++ b/packages/node/src/eelgrass_node/version/deployment.py
@@ -75,7 +75,7 @@
     kind: RouteKind
     timeout_s: float
     target_s: float
-    gap_target_s: float
+    inter_token_target_s: float
     priority: int
     services: tuple[WeightedService, ...]
     max_attempts: int
--- a/packages/node/src/eelgrass_node/version/version.py
+++ b/packages/node/src/eelgrass_node/version/version.py
@@ -5,7 +5,7 @@
 from eelgrass_coordination import Snapshot
 from eelgrass_coordination.ids import AccountName, Revision
 
-from .check import filled_in
+from .check import resolve_reference
 from .model import (
     ClientAccount,
     Kind,
@@ -92,8 +92,8 @@
 def _filled_stage(stage: Stage, template: Template, parameters: ParameterSet) -> Stage:
     return msgspec.structs.replace(
         stage,
-        model=filled_in(stage.model, template, parameters),
-        adapter=filled_in(stage.adapter, template, parameters) or "",
-        operation=filled_in(stage.operation, template, parameters),
-        max_tokens=filled_in(stage.max_tokens, template, parameters),
+        model=resolve_reference(stage.model, template, parameters),
+        adapter=resolve_reference(stage.adapter, template, parameters) or "",
+        operation=resolve_reference(stage.operation, template, parameters),
+        max_tokens=resolve_reference(stage.max_tokens, template, parameters),
     )
--- a/packages/node/tests/test_large_answers.py
+++ b/packages/node/tests/test_large_answers.py
@@ -114,10 +114,10 @@
         async with row_store(large_store()) as (client, _):
             call = asyncio.create_task(client.feed("servers", 0, 0.0))
             await asyncio.sleep(0.5)
-            assert client.arriving_since("servers") is not None
-            assert client.arriving_since("op") is None
+            assert client.response_started_at("servers") is not None
+            assert client.response_started_at("op") is None
             await call
-            assert client.arriving_since("servers") is None
+            assert client.response_started_at("servers") is None
 
     async def test_one_that_trickles_is_given_up(self):
         """Others may have it sooner, and nobody else is asked meanwhile."""
--- a/packages/node/tests/test_planning.py
+++ b/packages/node/tests/test_planning.py
@@ -63,7 +63,7 @@
         ("target_s", "gap_s", "leaves_at"), [(0.1, 0.1, 2.0), (1.7, 0.5, 6.8)]
     )
     def test_they_wait_for_the_longest_of_three(self, target_s, gap_s, leaves_at):
-        request = routed(target_s=target_s, gap_target_s=gap_s, deadline_s=10.0)
+        request = routed(target_s=target_s, inter_token_target_s=gap_s, deadline_s=10.0)
         assert request.caller_leaves_at == pytest.approx(leaves_at)
 
     def test_they_never_wait_beyond_the_deadline(self):
--- a/packages/node/tests/test_table_relay.py
+++ b/packages/node/tests/test_table_relay.py
@@ -48,7 +48,7 @@
     async def ask(self, address, table, after, wait_s):
         return await self.feed(table, after, wait_s)
 
-    def arriving_since(self, table):
+    def response_started_at(self, table):
         return self.since
 
 
--- a/tests/support/batching.py
+++ b/tests/support/batching.py
@@ -130,7 +130,7 @@
     counts=(2, 1, 8, 16),
     target_s=3.3,
     deadline_s=15.0,
-    gap_target_s=0.8,
+    inter_token_target_s=0.8,
     kind=RouteKind.STREAM,
 ):
     route = Route(
@@ -140,7 +140,7 @@
         kind=kind,
         timeout_s=deadline_s,
         target_s=target_s,
-        gap_target_s=gap_target_s,
+        inter_token_target_s=inter_token_target_s,
         priority=1,
         services=(WeightedService(ServiceName("readers")),),
         max_attempts=2,
--- a/tests/support/store_rows.py
+++ b/tests/support/store_rows.py
@@ -49,7 +49,7 @@
         """Say that the table cannot be read."""
         raise StoreUnavailable(table, self._reason)
 
-    def arriving_since(self, table: str) -> None:
+    def response_started_at(self, table: str) -> None:
         """Return that no answer comes."""
 
 
--- a/tests/support/store_simulation.py
+++ b/tests/support/store_simulation.py
@@ -142,7 +142,7 @@
         """Return changed rows."""
         return await self._store.feed(self._node, table, after, wait_s)
 
-    def arriving_since(self, table: str) -> None:
+    def response_started_at(self, table: str) -> None:
         """Return that no answer takes long to come: none is large here."""
 
 
--- a/tests/support/version_simulation.py
+++ b/tests/support/version_simulation.py
@@ -117,7 +117,7 @@
             lambda: self.day.store.feed(self.own.id, table, after, wait_s)
         )
 
-    def arriving_since(self, table: str) -> None:
+    def response_started_at(self, table: str) -> None:
         """Return that no answer takes long to come: none is large here."""
 
     async def _awake(self, call: Callable[[], Awaitable[T]]) -> T:
