--- a/packages/node/src/eelgrass_node/platform/__init__.py
+++ b/packages/node/src/eelgrass_node/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The adapter to the users' platform.
+"""Adapter to the platform that runs the nodes.
 
-It translates and decides nothing: each name of the platform's wire is decoded
-here, once, into a type of the product. Nothing outside this folder but the root
-(:mod:`eelgrass_node.entry_node`) imports it.
+Decodes the platform's wire formats, each in one place, into types of this project
+and encodes them back; it makes no decisions. Of the node's other modules only the
+root (:mod:`eelgrass_node.entry_node`) imports it.
 """
--- a/packages/node/src/eelgrass_node/platform/__main__.py
+++ b/packages/node/src/eelgrass_node/platform/__main__.py
@@ -1,4 +1,4 @@
-"""The entry point of a node on the users' platform."""
+"""The entry point of a node that runs on the platform."""
 
 import gc
 import os
@@ -11,26 +11,27 @@
 def main() -> None:
     """Run the node and exit with its code.
 
-    A word that the settings have changed must not end a process whose libraries
-    are still loading, as it does by default.
+    SIGHUP, the signal that the settings have changed, is ignored until the node can
+    handle it: by default it would terminate the process during its imports.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    _load_lightly()
+    _reduce_import_cost()
     from .cli import run
 
-    # What was loaded stays until the end, so no collection need look at it again.
+    # Imported objects live until the process exits, so the collector can skip them.
     gc.freeze()
     gc.enable()
     sys.exit(run())
 
 
-def _load_lightly() -> None:
-    """Make loading cheaper: callers wait for it when a fleet gets its power back.
+def _reduce_import_cost() -> None:
+    """Reduce the processor time and memory that imports take.
 
-    No cycles are looked for meanwhile, and the HTTP library does not read the host's
-    certificates, which plain HTTP has no use for. Together with ``python3 -S`` that
-    is 0.18 in place of 0.22 s of processor time and 2 MB less of 44 MB a process
-    (medians of 12 runs each, in turn).
+    After a power failure all nodes start at once, and callers wait for them. So the
+    cyclic garbage collector is off during the imports, and the HTTP library does not
+    load the host's certificates, which plain HTTP does not need. Together with
+    ``python3 -S`` a process starts with 0.18 instead of 0.22 s of processor time and
+    saves 2 of 44 MB (medians of 12 alternating runs each).
     """
     gc.disable()
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
--- a/packages/node/src/eelgrass_node/platform/cli.py
+++ b/packages/node/src/eelgrass_node/platform/cli.py
@@ -1,4 +1,4 @@
-"""The process of a node on the users' platform."""
+"""Runs the process of a node on the platform."""
 
 import asyncio
 import os
@@ -19,12 +19,12 @@
 EXIT_CLEAN = 0
 EXIT_CUT_OFF = 1
 EXIT_SETTINGS = 2
-DEFAULT_FILE = "/etc/eelgrassward/local.yaml"
+DEFAULT_SETTINGS_FILE = "/etc/eelgrassward/local.yaml"
 
 
 def run() -> int:
     """Run a node until SIGTERM; return the exit code."""
-    file = Path(os.environ.get(SETTINGS_VARIABLE, DEFAULT_FILE))
+    file = Path(os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_FILE))
     try:
         settings = load_host_settings(file)
     except SettingsError as error:
@@ -33,7 +33,8 @@
     log_to_stdout()
     with asyncio.Runner(loop_factory=BootClockLoop) as runner:
         code = runner.run(_serve(settings))
-    # Nor may it end one that is about to exit.
+    # Closing the loop has restored the default action of SIGHUP, which would terminate
+    # the process before it returns its exit code.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     return code
 
--- a/packages/node/src/eelgrass_node/platform/configuration.py
+++ b/packages/node/src/eelgrass_node/platform/configuration.py
@@ -26,10 +26,10 @@
 
 OPERATOR_TABLE = "op"
 CONFIGURATION_KEY = "config"
-# Of the keys of rows that each name a data centre to be emptied.
+# The rest of a key with this prefix names a data centre to evacuate.
 EVACUATION_PREFIX = "evacuate/"
 
-_KINDS = {
+_KIND_BY_NAME = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAM,
@@ -41,22 +41,22 @@
 _DEFAULT_IDLE_MS = 15_000.0
 
 
-class _Wire(msgspec.Struct, frozen=True, rename="pascal"):
-    """Base of the wire's structs; unknown fields are ignored."""
+class _WireStruct(msgspec.Struct, frozen=True, rename="pascal"):
+    """Base of the wire structs; unknown fields are ignored."""
 
 
-class _Share(_Wire):
+class _WeightedBackend(_WireStruct):
     service: str
     weight: float = 1.0
 
 
-class _Stage(_Wire):
+class _Stage(_WireStruct):
     service: str
     after: tuple[int, ...] = ()
     bytes: float = 0.0
 
 
-class _Route(_Wire):
+class _Route(_WireStruct):
     name: str
     host: str
     prefix: str
@@ -66,8 +66,8 @@
     target_itl_ms: float | None = None
     priority: int = 0
     service: str | None = None
-    # The wire's name for the services between which a route is split.
-    backends: tuple[_Share, ...] | None = None
+    # Despite their wire name these are services, among which the requests are split.
+    backends: tuple[_WeightedBackend, ...] | None = None
     max_attempts: int = 1
     stages: tuple[_Stage, ...] | None = None
     public: bool = False
@@ -75,15 +75,15 @@
     allowed_regions: tuple[str, ...] | None = None
 
 
-class _Engine(_Wire):
+class _Engine(_WireStruct):
     slots: int = 1
     kv_capacity: int = 0
-    # What a token takes up of an engine's memory, and the speed of its link.
+    # Engine memory per cached token, and the bandwidth of the engine's link.
     kv_token_bytes: float = 0.0
     bandwidth_mbps: float = 0.0
 
 
-class _Segments(_Wire):
+class _Segments(_WireStruct):
     slots: int = 1
     queue: int = 0
     batch: int = 1
@@ -93,32 +93,32 @@
     handle_s: float = 1.0
 
 
-class _Service(_Wire):
+class _Service(_WireStruct):
     name: str
     max_connections: int = 100
     warmup_s: float = 0.0
-    # New requests that a cold server bears in a second.
+    # New requests per second that a cold server can handle.
     warmup_per_s: float = 0.0
     engine: _Engine | None = None
-    # The wire calls the pieces of a stage segments.
+    # The wire calls the batch items of a stage segments.
     segments: _Segments | None = None
 
 
-class _Limits(_Wire):
+class _Limits(_WireStruct):
     max_header_bytes: int = _DEFAULT_HEADER_BYTES
     max_body_bytes: int = _DEFAULT_BODY_BYTES
     header_timeout_ms: float = _DEFAULT_HEADER_MS
     idle_timeout_ms: float = _DEFAULT_IDLE_MS
 
 
-class _Tenant(_Wire):
+class _Tenant(_WireStruct):
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
     allowed_regions: tuple[str, ...] | None = None
 
 
-class _Configuration(_Wire):
+class _Configuration(_WireStruct):
     version: int
     routes: tuple[_Route, ...]
     services: tuple[_Service, ...]
@@ -130,7 +130,7 @@
 
 
 def decode_deployment(value: bytes) -> Deployment:
-    """Decode a configuration; raises :class:`ConfigurationMalformed`."""
+    """Decode a configuration; raise :class:`ConfigurationMalformed` if it is wrong."""
     try:
         wire = _decoder.decode(value)
         return _deployment(wire)
@@ -142,7 +142,7 @@
     routes_by_host: dict[str, list[Route]] = {}
     for route in wire.routes:
         routes_by_host.setdefault(route.host.lower(), []).append(_route(route))
-    # The longest prefix first, so that the first match is the right one.
+    # Longest prefix first, so that the first match is the most specific one.
     ordered = {
         host: tuple(sorted(routes, key=lambda route: -len(route.prefix)))
         for host, routes in routes_by_host.items()
@@ -180,15 +180,17 @@
         services = (WeightedService(ServiceName(wire.service or "")),)
     timeout_s = wire.timeout_ms / 1000
     target_ms = wire.target_latency_ms
-    gap_ms = wire.target_itl_ms
+    inter_token_ms = wire.target_itl_ms
     return Route(
         name=wire.name,
         host=wire.host,
         prefix=wire.prefix,
-        kind=_KINDS[wire.kind],
+        kind=_KIND_BY_NAME[wire.kind],
         timeout_s=timeout_s,
         target_s=timeout_s if target_ms is None else target_ms / 1000,
-        inter_token_target_s=timeout_s if gap_ms is None else gap_ms / 1000,
+        inter_token_target_s=timeout_s
+        if inter_token_ms is None
+        else inter_token_ms / 1000,
         priority=wire.priority,
         services=services,
         max_attempts=max(1, wire.max_attempts),
--- a/packages/node/src/eelgrass_node/platform/names.py
+++ b/packages/node/src/eelgrass_node/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of the users' wire: headers and paths."""
+"""Header names, paths and other names of the platform's wire formats."""
 
 __all__ = [
     "ATTEMPT_ID",
@@ -39,7 +39,8 @@
 ENGINE_SIGNATURE = "Eelgrassward-Engine-Signature"
 EXPECT_ENGINE = "Eelgrassward-Expect-Engine"
 INPUTS = "Eelgrassward-Inputs"
-# The address of another engine from which this one first copies what it lacks.
+# The address of another engine, from which the called one first copies the cached parts
+# of the prompt that it lacks.
 KV_FETCH = "Kv-Fetch"
 LAST_EVENT_ID = "Last-Event-Id"
 LENGTH_HINT = "Eelgrassward-Length-Hint"
@@ -52,8 +53,8 @@
 TENANT = "Eelgrassward-Tenant"
 TOKEN_USAGE = "Eelgrassward-Token-Usage"
 
-# Headers towards an engine that only the system sets: what a caller sends
-# under these names is dropped.
+# Headers of engine calls that only the system may set; a caller's headers of these
+# names are dropped.
 SYSTEM_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -72,7 +73,7 @@
     )
 )
 
-# A table of our own, beside those of the operator and the servers.
+# Written by the nodes, unlike the tables of the operator and the servers.
 CRASHES_TABLE = "crashes"
 
 READY_PATH = "/-/readyz"
--- a/packages/node/src/eelgrass_node/platform/requests.py
+++ b/packages/node/src/eelgrass_node/platform/requests.py
@@ -1,4 +1,4 @@
-"""Codec of requests: callers' headers, and those to and from backend servers."""
+"""Codec for the headers of callers' requests and of calls to backend servers."""
 
 from collections.abc import Iterable
 
@@ -16,8 +16,8 @@
 
 __all__ = ["decode_request", "decode_head", "encode_request"]
 
-# These concern one connection only and never go on (RFC 9110, 7.6.1).
-HOP_HEADERS = frozenset(
+# These apply to a single connection and are never forwarded (RFC 9110, 7.6.1).
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -32,8 +32,8 @@
 )
 _LENGTH = "content-length"
 _HOST = "host"
-_LATIN = "latin-1"
-# Longer waits than a day are taken for a mistake.
+_HEADER_ENCODING = "latin-1"
+# A deadline of more than a day is rejected as a mistake.
 MAX_DEADLINE_MS = 86_400_000.0
 MAX_ITEMS = 10_000
 MAX_PRIORITY = 9
@@ -47,29 +47,31 @@
     body: bytes,
     arrived_at: float,
 ) -> IncomingRequest:
-    """Decode a caller's request; raises :class:`RequestMalformed`."""
-    headers = _decoded(raw_headers)
-    known = CIMultiDict(headers)
-    request_id = known.get(names.ATTEMPT_ID)
+    """Decode a caller's request; raise :class:`RequestMalformed` if it is wrong."""
+    headers = _decode_headers(raw_headers)
+    by_name = CIMultiDict(headers)
+    request_id = by_name.get(names.ATTEMPT_ID)
     if not request_id:
         raise RequestMalformed(f"the header {names.ATTEMPT_ID} is missing")
-    if len(known.getall(names.ATTEMPT_ID)) > 1 or len(known.getall("Host", ())) > 1:
+    if len(by_name.getall(names.ATTEMPT_ID)) > 1 or len(by_name.getall("Host", ())) > 1:
         raise RequestMalformed("a header that must be unique came twice")
-    dropped = _connection_headers(known) | names.SYSTEM_HEADERS | {_LENGTH}
+    dropped = _connection_headers(by_name) | names.SYSTEM_HEADERS | {_LENGTH}
     return IncomingRequest(
         request_id=request_id,
         method=method,
         target=target,
-        host=known.get("Host", ""),
+        host=by_name.get("Host", ""),
         headers=tuple(h for h in headers if h[0].lower() not in dropped),
         body=body,
         arrived_at=arrived_at,
-        caller_deadline_s=_deadline_s(known.get(names.DEADLINE_MS)),
-        api_key=_api_key(known.get(names.AUTHORIZATION)),
-        last_event_id=known.get(names.LAST_EVENT_ID),
-        item_counts=_item_counts(known.get(names.SEGMENTS)),
-        item_key=known.get(names.SEGMENT_KEY, ""),
-        prompt=_prompt(known.get(names.PROMPT_PREFIX), known.get(names.TOKEN_USAGE)),
+        caller_deadline_s=_parse_deadline_s(by_name.get(names.DEADLINE_MS)),
+        api_key=_parse_api_key(by_name.get(names.AUTHORIZATION)),
+        last_event_id=by_name.get(names.LAST_EVENT_ID),
+        item_counts=_parse_item_counts(by_name.get(names.SEGMENTS)),
+        item_key=by_name.get(names.SEGMENT_KEY, ""),
+        prompt=_parse_prompt(
+            by_name.get(names.PROMPT_PREFIX), by_name.get(names.TOKEN_USAGE)
+        ),
     )
 
 
@@ -81,7 +83,7 @@
     last_event_id: str | None,
     copy_from: str | None = None,
 ) -> CIMultiDict[str]:
-    """Return the headers towards a backend server."""
+    """Return the headers of a call to a backend server."""
     headers: CIMultiDict[str] = CIMultiDict()
     for name, value in routed.incoming.headers:
         headers.add(name, value)
@@ -102,35 +104,38 @@
 def decode_head(
     status: int, raw_headers: tuple[tuple[bytes, bytes], ...]
 ) -> ResponseHead:
-    """Decode the head of a backend server's answer."""
-    decoded = _decoded(raw_headers)
-    known = CIMultiDict(decoded)
-    dropped = _connection_headers(known)
+    """Decode the head of a backend server's response."""
+    decoded = _decode_headers(raw_headers)
+    by_name = CIMultiDict(decoded)
+    dropped = _connection_headers(by_name)
     passed = ((n, v) for n, v in decoded if n.lower() not in dropped)
-    connection = known.get("Connection", "").lower()
+    connection = by_name.get("Connection", "").lower()
     return ResponseHead(
         status=status,
-        request_id=known.get(names.ATTEMPT_ID),
-        server_id=known.get(names.ENGINE_ID),
-        signed=names.ENGINE_SIGNATURE in known,
-        not_run=names.NOT_EXECUTED in known or status == HTTP_MISDIRECTED,
+        request_id=by_name.get(names.ATTEMPT_ID),
+        server_id=by_name.get(names.ENGINE_ID),
+        signed=names.ENGINE_SIGNATURE in by_name,
+        not_run=names.NOT_EXECUTED in by_name or status == HTTP_MISDIRECTED,
         closes="close" in connection,
-        load=_load(known.get(names.ENGINE_LOAD)),
+        load=_parse_load(by_name.get(names.ENGINE_LOAD)),
         headers=CIMultiDict(passed),
     )
 
 
-def _decoded(raw: Iterable[tuple[bytes, bytes]]) -> list[tuple[str, str]]:
-    return [(name.decode(_LATIN), value.decode(_LATIN)) for name, value in raw]
+def _decode_headers(raw: Iterable[tuple[bytes, bytes]]) -> list[tuple[str, str]]:
+    return [
+        (name.decode(_HEADER_ENCODING), value.decode(_HEADER_ENCODING))
+        for name, value in raw
+    ]
 
 
-def _connection_headers(known: CIMultiDict[str]) -> frozenset[str]:
-    listed = known.getall("Connection", ())
-    named = {token.strip().lower() for value in listed for token in value.split(",")}
-    return HOP_HEADERS | named
+def _connection_headers(by_name: CIMultiDict[str]) -> frozenset[str]:
+    values = by_name.getall("Connection", ())
+    named = {token.strip().lower() for value in values for token in value.split(",")}
+    return HOP_BY_HOP_HEADERS | named
 
 
-def _deadline_s(value: str | None) -> float | None:
+def _parse_deadline_s(value: str | None) -> float | None:
     if value is None:
         return None
     try:
@@ -142,14 +147,14 @@
     return deadline_ms / 1000
 
 
-def _api_key(value: str | None) -> str | None:
+def _parse_api_key(value: str | None) -> str | None:
     if value is None:
         return None
     scheme, _, key = value.partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
-def _item_counts(value: str | None) -> tuple[int, ...]:
+def _parse_item_counts(value: str | None) -> tuple[int, ...]:
     if not value:
         return ()
     try:
@@ -161,8 +166,11 @@
     return counts
 
 
-def _prompt(parts: str | None, usage: str | None) -> PromptShape:
-    """Decode the shape of a prompt; it only guides the choice of a server."""
+def _parse_prompt(parts: str | None, usage: str | None) -> PromptShape:
+    """Decode the shape of a prompt.
+
+    It only guides the choice of a server, so a malformed one is ignored.
+    """
     try:
         decoded = tuple(
             PromptPart(part_id, int(tokens))
@@ -177,7 +185,7 @@
         return PromptShape()
 
 
-def _load(value: str | None) -> tuple[int, int, int] | None:
+def _parse_load(value: str | None) -> tuple[int, int, int] | None:
     if value is None:
         return None
     try:
--- a/packages/node/src/eelgrass_node/platform/servers.py
+++ b/packages/node/src/eelgrass_node/platform/servers.py
@@ -1,7 +1,7 @@
-"""Decodes the entries that backend servers write about themselves.
+"""Decodes the entries that backend servers register in the store.
 
-An entry may come from another writer. One that is not exactly what a server
-writes names no server.
+Other writers may write to the same table, so an entry is rejected unless it has
+exactly the form that a server writes.
 """
 
 import ipaddress
@@ -19,20 +19,20 @@
 
 SERVERS_TABLE = "servers"
 
-_STATES = {"ready": BackendState.LIVE, "draining": BackendState.LEAVING}
-# Far over what any server takes at a time; more is taken for a mistake.
+_STATE_BY_NAME = {"ready": BackendState.LIVE, "draining": BackendState.LEAVING}
+# Far above the concurrency of any server; more is rejected as a mistake.
 MAX_SLOTS = 100_000
 MAX_PORT = 65_535
-# A start that lies further ahead of this host's time of day is taken for a
-# mistake: clocks differ by seconds.
-MAX_AHEAD_MS = 86_400_000
+# A start time further ahead of this host's clock is rejected as a mistake, because
+# clocks of hosts differ by seconds only.
+MAX_START_AHEAD_MS = 86_400_000
 
 
 class _Server(msgspec.Struct, frozen=True, rename="pascal"):
-    """The wire's entry; what is not used is declared so that it is checked.
+    """An entry on the wire. Unused fields are declared so that they are checked.
 
     ``born`` is the time of the server's start, in Unix milliseconds; servers of
-    older deployments do not tell it.
+    older deployments omit it.
     """
 
     service: str
@@ -52,10 +52,10 @@
 def decode_server(
     region_by_data_centre: Mapping[str, str], server_id: str, value: bytes
 ) -> HostEntry:
-    """Decode the entry of a server; raises :class:`ServerEntryMalformed`."""
+    """Decode a server's entry; raise :class:`ServerEntryMalformed` if it is wrong."""
     try:
         wire = _decoder.decode(value)
-        _check(wire)
+        _validate(wire)
     except (msgspec.MsgspecError, ValueError) as error:
         raise ServerEntryMalformed(server_id, repr(error)) from error
     return HostEntry(
@@ -64,27 +64,27 @@
         address=wire.address,
         data_centre=DataCentre(wire.zone),
         limit=wire.slots,
-        state=_STATES[wire.state],
+        state=_STATE_BY_NAME[wire.state],
         started=wire.born,
         region=region_by_data_centre.get(wire.zone, ""),
         warm_up_s=wire.warmup_left_ms / 1000,
     )
 
 
-def _check(wire: _Server) -> None:
-    """Raise :class:`ValueError` where a value cannot be meant."""
+def _validate(wire: _Server) -> None:
+    """Raise :class:`ValueError` if a value is invalid or implausible."""
     host, _, port = wire.address.rpartition(":")
     ipaddress.ip_address(host)
     if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
-        raise ValueError(f"the port of {wire.address} is wrong")
-    if wire.state not in _STATES:
-        raise ValueError(f"the state {wire.state} is not known")
+        raise ValueError(f"the address {wire.address} has no valid port")
+    if wire.state not in _STATE_BY_NAME:
+        raise ValueError(f"the state {wire.state} is unknown")
     if not wire.service or not wire.zone:
         raise ValueError("the service or the data centre is empty")
     if not 0 < wire.slots <= MAX_SLOTS:
-        raise ValueError(f"{wire.slots} slots")
+        raise ValueError(f"{wire.slots} slots are out of range")
     if wire.sequence < 0 or not wire.warmup_left_ms >= 0:
-        raise ValueError("a count is negative")
-    latest = time.time() * 1000 + MAX_AHEAD_MS
-    if not 0 <= wire.born <= latest:
-        raise ValueError(f"a start at {wire.born}")
+        raise ValueError("the sequence or the remaining warm-up time is negative")
+    latest_start = time.time() * 1000 + MAX_START_AHEAD_MS
+    if not 0 <= wire.born <= latest_start:
+        raise ValueError(f"the start time {wire.born} is out of range")
--- a/packages/node/src/eelgrass_node/platform/settings.py
+++ b/packages/node/src/eelgrass_node/platform/settings.py
@@ -1,4 +1,4 @@
-"""Decodes the settings file that the platform gives to each process."""
+"""Decodes the settings file that the platform provides to each node."""
 
 from pathlib import Path
 
@@ -13,22 +13,22 @@
 
 __all__ = ["METRICS_PORT", "load_host_settings"]
 
-# As deploy/system.toml tells the platform.
+# Must be the metrics port that deploy/system.toml declares to the platform.
 METRICS_PORT = 9464
 
 
-class _Wire(msgspec.Struct, frozen=True, rename="pascal"):
-    """Base of the wire's structs; unknown fields are ignored."""
+class _WireStruct(msgspec.Struct, frozen=True, rename="pascal"):
+    """Base of the wire structs; unknown fields are ignored."""
 
 
-class _Listen(_Wire):
+class _Listen(_WireStruct):
     frontend: str
     readiness: str
     control: str
 
 
-class _Limits(_Wire):
-    # Of one core, which is ``cores`` times as fast as a usual one.
+class _Limits(_WireStruct):
+    # The share of one core, which is ``cores`` times as fast as a standard one.
     cpu_share: float = 1.0
     cores: float = 1.0
     bandwidth_mbps: float = 1000.0
@@ -36,7 +36,7 @@
     max_fds: int = 1024
 
 
-class _Bounds(_Wire):
+class _Bounds(_WireStruct):
     grace_s: float = 8.0
     retry_budget: float = 0.1
     budget_window_s: float = 10.0
@@ -49,19 +49,19 @@
     warmup_slack: float = 0.0
 
 
-class _Store(_Wire):
+class _Store(_WireStruct):
     address: str
     writes_per_s: float = 100.0
     reads_per_s: float = 500.0
 
 
-class _Settings(_Wire):
+class _Settings(_WireStruct):
     node_name: str
     zone: str
     listen: _Listen
     platform: _Store
     bind_ip: str
-    # The wire gives a range of ports free for traffic between our processes.
+    # Ports reserved for traffic between nodes; gossip uses the first one.
     port_range: tuple[int, int]
     seeds: tuple[str, ...] = ()
     # The region of each data centre.
@@ -72,7 +72,7 @@
 
 
 def load_host_settings(file: Path) -> HostSettings:
-    """Read and check the settings; raises :class:`SettingsError`."""
+    """Read and check the settings; raise :class:`SettingsError` if they are wrong."""
     name = str(file)
     try:
         raw = yaml.load(file.read_bytes(), Loader=_yaml_loader())
@@ -116,5 +116,5 @@
 
 
 def _yaml_loader() -> type:
-    # The C loader is some ten times as fast, which matters at the start.
+    # The C loader is about ten times as fast, which shortens the start of a node.
     return getattr(yaml, "CSafeLoader", yaml.SafeLoader)
--- a/packages/node/src/eelgrass_node/platform/stage_calls.py
+++ b/packages/node/src/eelgrass_node/platform/stage_calls.py
@@ -1,4 +1,4 @@
-"""Codec of the calls that run the pieces of stages and free their results."""
+"""Codec for the calls that run batch items of stages and free their results."""
 
 import msgspec
 from multidict import CIMultiDict
@@ -58,21 +58,21 @@
 
 
 def encode_items(items: list[BatchItem], now: float) -> bytes:
-    """Return the body of a call that runs pieces."""
+    """Return the body of a call that runs batch items."""
     return msgspec.json.encode(_Items([_item(item, now) for item in items]))
 
 
 def decode_outcomes(body: bytes, count: int) -> list[ItemOutcome]:
-    """Decode the answer, in the order of the call.
+    """Decode the response to a call into one outcome per item, in the call's order.
 
-    Raises :class:`PieceAnswerMalformed` where it does not fit the call.
+    Raises :class:`BatchAnswerMalformed` if the response does not match the call.
     """
     try:
         results = _decoder.decode(body).items
     except msgspec.MsgspecError as error:
         raise BatchAnswerMalformed(repr(error)) from error
     if len(results) != count:
-        raise BatchAnswerMalformed(f"{len(results)} results for {count} pieces")
+        raise BatchAnswerMalformed(f"{len(results)} results for {count} batch items")
     return [_outcome(result) for result in results]
 
 
@@ -105,5 +105,5 @@
 
 
 def call_headers(server_id: str) -> CIMultiDict[str]:
-    """Return the headers of a call that only this server may take."""
+    """Return headers with which any server but this one rejects the call."""
     return CIMultiDict({names.EXPECT_ENGINE: server_id})
--- a/packages/node/src/eelgrass_node/platform/store.py
+++ b/packages/node/src/eelgrass_node/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store: rows, their changes, and writes."""
+"""Client of the platform's store: reads tables, follows changes, writes rows."""
 
 import asyncio
 import base64
@@ -16,9 +16,9 @@
 
 __all__ = ["RowStore"]
 
-# The store answers in milliseconds where it can be reached at all.
+# A reachable store answers within milliseconds.
 CONNECT_TIMEOUT_S = 0.5
-# Calls follow one another within a second or two; a spare connection costs nothing.
+# Calls follow each other within a second or two, and an idle connection costs nothing.
 KEEP_ALIVE_S = 60.0
 HTTP_OK = 200
 HTTP_GONE = 410
@@ -37,21 +37,21 @@
     ver: int = 0
 
 
-class _Place(msgspec.Struct, frozen=True, rename="pascal"):
-    """Where a row is; it lies in the table's unnamed part."""
+class _RowKey(msgspec.Struct, frozen=True, rename="pascal"):
+    """The location of a row, in the unnamed part of its table."""
 
     table: str
     key: str
     part: str = msgspec.field(default="", name="part")
 
 
-class _Write(_Place, frozen=True, rename="pascal"):
+class _Write(_RowKey, frozen=True, rename="pascal"):
     value: str = ""
 
 
 class _Transaction(msgspec.Struct, frozen=True, rename="pascal"):
     writes: tuple[_Write, ...]
-    remove: tuple[_Place, ...]
+    remove: tuple[_RowKey, ...]
     expect_rev: tuple[()] = ()
 
 
@@ -61,14 +61,15 @@
 class RowStore:
     """Reads and writes tables of the store at ``address``, an IP address and port.
 
-    Every method raises :class:`StoreUnavailable` where no good answer came.
+    Methods raise :class:`StoreUnavailable` if no valid response arrives.
     """
 
     def __init__(self, address: str) -> None:
         self._url = f"http://{address}"
-        # One for each table, whose calls follow one another: it keeps one connection.
-        # A spare one would go silent together with it and cost a second call, 0.6 s
-        # and the pause after it.
+        # One session for the reads of a table and one for its writes. The calls of a
+        # session are sequential, so each keeps one connection. A spare connection would
+        # fail together with the first one, and the call on it would cost another
+        # time-out of 0.6 s and a backoff.
         self._session_by_table: dict[str, aiohttp.ClientSession] = {}
         self._response_started_at_by_table: dict[str, float] = {}
         self.calls = 0
@@ -76,47 +77,47 @@
     async def read_table(self, table: str) -> TableChanges:
         """Return all rows of a table's unnamed part.
 
-        They are complete as of the version that is returned, that of the first page:
-        a row of it may change before the last one is read.
+        The returned version is that of the first page, because rows of that page may
+        change before the last page is read: the rows reflect all changes up to it.
         """
         rows: list[StoredRow] = []
         version: int | None = None
-        first = ""
+        first_key = ""
         while True:
-            params = {"Table": table, "part": "", "FromKey": first}
+            params = {"Table": table, "part": "", "FromKey": first_key}
             page = await self._get("/-/rows-get", params, FULL_READ_RESPONSE_TIMEOUT_S)
-            rows += [_stored(row) for row in page.rows]
+            rows += [_decode_row(row) for row in page.rows]
             version = page.ver if version is None else version
             if not page.has_more or not page.rows:
                 return TableChanges(tuple(rows), version)
-            # The range begins with its first key; this is the next one after it.
-            first = page.rows[-1].key + "\0"
+            # FromKey is inclusive; this is the smallest key after the last one read.
+            first_key = page.rows[-1].key + "\0"
 
     async def feed(self, table: str, after: int, wait_s: float) -> TableChanges:
-        """Return the rows changed after a version, waiting for the first one.
+        """Return the rows changed after a version; wait for the first change.
 
-        Raises :class:`HistoryGone` where the store no longer knows.
+        Raises :class:`HistoryGone` if the store no longer has these changes.
         """
         params = {
             "Table": table,
             "After": str(after),
             "WaitMs": str(int(wait_s * 1000)),
         }
-        # Where no answer has begun so long after the wait, the connection is taken for
-        # one that has gone silent.
+        # If no response has started by this time after the wait, the connection is
+        # considered dead.
         page = await self._get("/-/rows-feed", params, wait_s + RESPONSE_TIMEOUT_S)
-        return TableChanges(tuple(_stored(row) for row in page.rows), page.ver)
+        return TableChanges(tuple(_decode_row(row) for row in page.rows), page.ver)
 
     async def write(
         self, table: str, puts: Mapping[str, bytes], removes: Sequence[str]
     ) -> None:
-        """Write rows by their key and remove others, all or none."""
-        encoded = (
+        """Write rows by key and remove others, in one atomic transaction."""
+        writes = (
             _Write(table, key, value=base64.b64encode(value).decode())
             for key, value in puts.items()
         )
-        removed = tuple(_Place(table, key) for key in removes)
-        body = msgspec.json.encode(_Transaction(tuple(encoded), removed))
+        removals = tuple(_RowKey(table, key) for key in removes)
+        body = msgspec.json.encode(_Transaction(tuple(writes), removals))
         self.calls += 1
         session = self._session(f"{table}: writes")
         path = "/-/rows-tx"
@@ -137,9 +138,9 @@
             raise StoreUnavailable(path, f"status {status}")
 
     def response_started_at(self, table: str) -> float | None:
-        """Return when an answer that is not whole yet has begun; None without one.
+        """Return when the response that is being received started; None if none is.
 
-        In seconds of the event loop's clock.
+        The time is in seconds of the event loop's clock.
         """
         return self._response_started_at_by_table.get(table)
 
@@ -154,14 +155,21 @@
             session = self._session_by_table[table] = new_session(KEEP_ALIVE_S)
         return session
 
-    async def _get(self, path: str, params: dict[str, str], within_s: float) -> _Rows:
+    async def _get(
+        self, path: str, params: dict[str, str], response_timeout_s: float
+    ) -> _Rows:
         self.calls += 1
         table = params["Table"]
         session = self._session(table)
         url = self._url + path
         try:
             async with bounded_call(
-                session, "GET", url, within_s, CONNECT_TIMEOUT_S, params=params
+                session,
+                "GET",
+                url,
+                response_timeout_s,
+                CONNECT_TIMEOUT_S,
+                params=params,
             ) as response:
                 now = asyncio.get_running_loop().time()
                 self._response_started_at_by_table[table] = now
@@ -178,7 +186,7 @@
             self._response_started_at_by_table.pop(table, None)
 
 
-def _stored(row: _Row) -> StoredRow:
+def _decode_row(row: _Row) -> StoredRow:
     if row.deleted or row.value is None:
         return StoredRow(row.key, row.ver, None)
     try:
