--- a/packages/node/src/eelgrass_node/version/__init__.py
+++ b/packages/node/src/eelgrass_node/version/__init__.py
@@ -1,4 +1,4 @@
-"""What lives as long as one accepted configuration revision."""
+"""Configuration as immutable values: revisions of it, and platform deployments."""
 
 from .check import validate_snapshot
 from .model import Kind, Pipeline, Stage, StageKind
--- a/packages/node/src/eelgrass_node/version/check.py
+++ b/packages/node/src/eelgrass_node/version/check.py
@@ -1,7 +1,7 @@
-"""Checks of a configuration change, made against the whole result.
+"""Validates a configuration change by the complete configuration that results.
 
-A template is checked against every parameter set that uses it, and a parameter
-set against its template and account, so that what is accepted can be served.
+Checks a changed template against every parameter set that uses it, and a parameter
+set against its template and account, so that any accepted configuration can be served.
 """
 
 import re
@@ -44,19 +44,19 @@
 
 
 def validate_snapshot(before: Snapshot, after: Snapshot) -> list[Problem]:
-    """Return the problems of ``after``, given that ``before`` has none."""
+    """Return the problems of ``after``; ``before`` must have none."""
     return list(_problems(before, after))
 
 
 def _problems(before: Snapshot, after: Snapshot) -> Iterator[Problem]:
-    changed = _changed(before, after)
+    changed = _changed_objects(before, after)
     decoded: dict[tuple[str, str], Any] = {}
     for kind, name in changed:
         entry = after.get(kind, name)
         if kind not in MODEL_TYPES:
             yield Problem(kind, "no such kind", f"use one of {sorted(MODEL_TYPES)}")
         elif entry is not None:
-            value = _decoded(kind, name, entry)
+            value = _decode(kind, name, entry)
             if isinstance(value, Problem):
                 yield value
             else:
@@ -66,7 +66,7 @@
     yield from _reference_problems(after, changed, decoded)
 
 
-def _changed(before: Snapshot, after: Snapshot) -> list[tuple[str, str]]:
+def _changed_objects(before: Snapshot, after: Snapshot) -> list[tuple[str, str]]:
     found = []
     for kind in after.by_kind.keys() | before.by_kind.keys():
         old = before.by_kind.get(kind, {})
@@ -78,7 +78,7 @@
     return sorted(found)
 
 
-def _decoded(kind: str, name: str, entry: Entry) -> Any:
+def _decode(kind: str, name: str, entry: Entry) -> Any:
     try:
         return msgspec.json.decode(entry.value, type=MODEL_TYPES[kind])
     except msgspec.MsgspecError as error:
@@ -89,7 +89,7 @@
     field = f"{kind}/{name}"
     parts = name.split("/") if kind == Kind.PARAMETERS.value else [name]
     if not all(NAME_PATTERN.fullmatch(part) for part in parts):
-        remedy = "use 1 to 64 of a-z, 0-9, '.', '_' and '-'"
+        remedy = "use 1 to 64 characters of a-z, 0-9, '.', '_' and '-'"
         yield Problem(field, "the name is not valid", remedy)
     if isinstance(value, Template):
         yield from _template_problems(field, value)
@@ -112,34 +112,38 @@
     names = [stage.name for stage in template.stages]
     if len(set(names)) < len(names):
         remedy = "give each stage a name of its own"
-        yield Problem(f"{field}.stages", "two stages have one name", remedy)
+        yield Problem(f"{field}.stages", "several stages have the same name", remedy)
     for stage in template.stages:
-        place = f"{field}.stages.{stage.name}"
+        field_path = f"{field}.stages.{stage.name}"
         if not NAME_PATTERN.fullmatch(stage.service):
-            yield Problem(f"{place}.service", "not a valid name", "name a service")
+            yield Problem(f"{field_path}.service", "not a valid name", "name a service")
         if stage.kind is StageKind.GENERATE and not stage.model:
-            yield Problem(f"{place}.model", "it is missing", "name a model")
+            yield Problem(f"{field_path}.model", "it is missing", "name a model")
         if stage.kind is StageKind.CALL and not stage.operation:
-            yield Problem(f"{place}.operation", "it is missing", "name an operation")
+            yield Problem(
+                f"{field_path}.operation", "it is missing", "name an operation"
+            )
         for text in (stage.model, stage.adapter, stage.operation, stage.max_tokens):
-            yield from _reference_problem(place, text, template)
+            yield from _reference_problem(field_path, text, template)
     for name, spec in template.parameters.items():
         if not spec.required and not _has_type(spec, spec.default):
-            place = f"{field}.parameters.{name}.default"
-            yield Problem(place, f"it is no {spec.type.value}", "give one that is")
+            field_path = f"{field}.parameters.{name}.default"
+            yield Problem(
+                field_path, f"it is no {spec.type.value}", "give a default of that type"
+            )
 
 
 def _reference_problem(
-    place: str, text: int | str, template: Template
+    field_path: str, text: int | str, template: Template
 ) -> Iterator[Problem]:
     if isinstance(text, int):
         if not 1 <= text <= MAX_TOKENS:
             remedy = f"give 1 to {MAX_TOKENS}"
-            yield Problem(f"{place}.max_tokens", "out of range", remedy)
+            yield Problem(f"{field_path}.max_tokens", "out of range", remedy)
         return
     if text.startswith("$") and text[1:] not in template.parameters:
         remedy = "declare it under parameters"
-        yield Problem(place, f"parameter {text[1:]!r} is not declared", remedy)
+        yield Problem(field_path, f"parameter {text[1:]!r} is not declared", remedy)
 
 
 def _has_type(spec: ParameterSpec, value: Any) -> bool:
@@ -151,31 +155,31 @@
 def _reference_problems(
     after: Snapshot, changed: list[tuple[str, str]], decoded: dict
 ) -> Iterator[Problem]:
-    sets = after.by_kind.get(Kind.PARAMETERS.value, {})
-    for name in sorted(_affected_sets(sets, changed)):
+    entries = after.by_kind.get(Kind.PARAMETERS.value, {})
+    for name in sorted(_affected_parameter_sets(entries, changed)):
         value = decoded.get((Kind.PARAMETERS.value, name))
         if value is None:
-            value = _decoded(Kind.PARAMETERS.value, name, sets[name])
+            value = _decode(Kind.PARAMETERS.value, name, entries[name])
         if isinstance(value, ParameterSet):
-            yield from _set_problems(after, name, value)
+            yield from _parameter_set_problems(after, name, value)
 
 
-def _affected_sets(
-    sets: dict[str, Entry], changed: list[tuple[str, str]]
+def _affected_parameter_sets(
+    entries: dict[str, Entry], changed: list[tuple[str, str]]
 ) -> Iterator[str]:
-    own = {name for kind, name in changed if kind == Kind.PARAMETERS.value}
+    changed_sets = {name for kind, name in changed if kind == Kind.PARAMETERS.value}
     accounts = {name for kind, name in changed if kind == Kind.ACCOUNT.value}
     templates = {name for kind, name in changed if kind == Kind.TEMPLATE.value}
     if not accounts and not templates:
-        yield from own & sets.keys()
+        yield from changed_sets & entries.keys()
         return
-    for name in sets:
+    for name in entries:
         account, _, template = name.partition("/")
-        if name in own or account in accounts or template in templates:
+        if name in changed_sets or account in accounts or template in templates:
             yield name
 
 
-def _set_problems(
+def _parameter_set_problems(
     after: Snapshot, name: str, parameters: ParameterSet
 ) -> Iterator[Problem]:
     field = f"{Kind.PARAMETERS.value}/{name}"
@@ -188,7 +192,7 @@
         yield Problem(field, f"template {parameters.template!r} does not exist", remedy)
         return
     yield from _incarnation_problem(after, field, parameters, entry)
-    template = _decoded(Kind.TEMPLATE.value, parameters.template, entry)
+    template = _decode(Kind.TEMPLATE.value, parameters.template, entry)
     if isinstance(template, Template):
         yield from _value_problems(field, parameters, template)
 
@@ -202,14 +206,14 @@
     if created_here and parameters.template_incarnation == 0:
         return
     name = f"{field}.template_incarnation"
-    own = after.get(Kind.PARAMETERS.value, field.split("/", 1)[1])
-    if parameters.template_incarnation == 0 and own is not None:
-        # Written together with the template, at the revision that created both.
-        if own.incarnation == template.incarnation:
+    set_entry = after.get(Kind.PARAMETERS.value, field.split("/", 1)[1])
+    if parameters.template_incarnation == 0 and set_entry is not None:
+        # The change that created the parameter set created this template as well.
+        if set_entry.incarnation == template.incarnation:
             return
     yield Problem(
         name,
-        f"the template now in force was created at revision {template.incarnation}",
+        f"the current template was created at revision {template.incarnation}",
         "show the template, check that the values still suit it, and give that number",
     )
 
@@ -235,8 +239,10 @@
     if deadline_ms is not None and not 1 <= deadline_ms <= template.deadline_ms:
         remedy = f"give 1 to {template.deadline_ms}, the template's deadline"
         yield Problem(f"{field}.deadline_ms", "out of range", remedy)
-    tokens = [s.max_tokens for s in template.stages if isinstance(s.max_tokens, str)]
-    for reference in tokens:
+    token_references = [
+        s.max_tokens for s in template.stages if isinstance(s.max_tokens, str)
+    ]
+    for reference in token_references:
         value = resolve_reference(reference, template, parameters)
         if not isinstance(value, int) or not 1 <= value <= MAX_TOKENS:
             remedy = f"give an integer from 1 to {MAX_TOKENS}"
@@ -244,7 +250,7 @@
 
 
 def resolve_reference(text: Any, template: Template, parameters: ParameterSet) -> Any:
-    """Return the value that a stage's field refers to, or the field itself."""
+    """Return the value of the parameter that ``$name`` refers to, or ``text`` as is."""
     if not isinstance(text, str) or not text.startswith("$"):
         return text
     spec = template.parameters.get(text[1:])
--- a/packages/node/src/eelgrass_node/version/deployment.py
+++ b/packages/node/src/eelgrass_node/version/deployment.py
@@ -1,7 +1,7 @@
-"""One configuration of the users' platform: routes, services, client accounts.
+"""The platform's configuration: routes, services and client accounts.
 
-A configuration is never changed once it is decoded; a newer one replaces it
-whole. All durations are in seconds.
+A decoded configuration is immutable; a newer one replaces it completely. All
+durations are in seconds.
 
 Example::
 
@@ -35,7 +35,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated of a route's requests."""
+    """How a route's requests are answered, and whether they may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -43,17 +43,17 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """A service with its share of a route's requests, as a positive weight."""
+    """A service and its share of a route's requests, given as a positive weight."""
 
     name: ServiceName
     weight: float = 1.0
 
 
 class BatchStage(msgspec.Struct, frozen=True):
-    """A stage that must have run before a request can.
+    """A stage that must have run before the final call of a request.
 
     ``after`` holds the numbers of the stages whose results it needs;
-    ``result_bytes`` is the approximate size of the result of one piece.
+    ``result_bytes`` is the approximate size of one batch item's result.
     """
 
     service: ServiceName
@@ -62,11 +62,12 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where the requests for one host and path prefix go, and how.
+    """How requests for one host and path prefix are served, and by which services.
 
-    ``priority`` 0 is the most urgent. ``resumable`` says that a broken stream
-    may go on at another backend server. ``regions`` are those to which its requests
-    are bound; where there are none, they may run anywhere.
+    ``target_s`` is the latency target, and ``inter_token_target_s`` that for the time
+    between tokens of a stream. ``priority`` 0 is the most urgent. If the route is
+    ``resumable``, another backend server may continue a broken stream. Requests are
+    restricted to ``regions``; without any they may run everywhere.
     """
 
     name: str
@@ -86,29 +87,30 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run can be sent again."""
+        """Whether a request that may have run can be retried."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
 
     def pick_service(self, randomness: random.Random) -> ServiceName:
-        """Return one of the services, by weight."""
+        """Return a random service; their weights set the odds."""
         if len(self.services) == 1:
             return self.services[0].name
         weights = [service.weight for service in self.services]
         return randomness.choices(self.services, weights)[0].name
 
     def final_stages(self) -> tuple[int, ...]:
-        """Return the stages that no other stage follows."""
+        """Return the numbers of the stages that no other stage depends on."""
         followed = {before for stage in self.stages for before in stage.after}
         return tuple(n for n in range(len(self.stages)) if n not in followed)
 
 
 class ModelLimits(msgspec.Struct, frozen=True):
-    """What one model engine holds: concurrent requests and tokens of memory.
+    """The capacity of one model engine: concurrent requests, and tokens in memory.
 
-    ``token_bytes`` is what a token takes up of it, and ``link_bytes_per_s`` how
-    fast engines copy it from each other; both are 0 where they do not.
+    ``token_bytes`` is the memory that one token takes, and ``link_bytes_per_s`` the
+    rate at which engines copy cached tokens from each other. If engines do not copy,
+    both are 0.
     """
 
     slots: int
@@ -117,18 +119,18 @@
     link_bytes_per_s: float = 0.0
 
     def copy_s(self, tokens: int) -> float:
-        """Return the seconds of copying tokens between engines, or infinity."""
+        """Return how many seconds it takes to copy tokens; infinity if not possible."""
         if not self.token_bytes or not self.link_bytes_per_s:
             return math.inf
         return tokens * self.token_bytes / self.link_bytes_per_s
 
 
 class BatchLimits(msgspec.Struct, frozen=True):
-    """What one backend server that runs stages takes.
+    """The capacity of one backend server that runs stages.
 
-    ``slots`` calls run at a time, ``queue`` more may wait, each with up to
-    ``batch`` pieces. A call takes ``call_s`` and about ``piece_s`` a piece.
-    Results take up ``memory_bytes`` in all and live for ``result_life_s``.
+    It runs ``slots`` calls at a time and queues up to ``queue`` more, each with up to
+    ``batch`` items. A call takes ``call_s`` plus about ``item_s`` per item. The server
+    keeps results for ``result_life_s``, in ``memory_bytes`` altogether.
     """
 
     slots: int
@@ -141,10 +143,10 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service and the limits that hold for each of its backend servers.
+    """A service and the limits of each of its backend servers.
 
-    One is cold for ``warm_up_s`` after its start, and bears ``warm_up_per_s`` new
-    requests a second meanwhile; 0 stands for no bound.
+    A server is cold for ``warm_up_s`` after its start and can handle
+    ``warm_up_per_s`` new requests per second meanwhile; 0 means no limit.
     """
 
     name: ServiceName
@@ -156,9 +158,9 @@
 
 
 class AccountGrant(msgspec.Struct, frozen=True):
-    """The client account that an API key stands for.
+    """The client account to which an API key belongs.
 
-    ``regions`` are those to which its requests are bound, if to any.
+    Its requests are restricted to ``regions``, if there are any.
     """
 
     name: str
@@ -167,9 +169,10 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long a connection may be idle.
+    """Limits on the size of callers' requests and on idle connections.
 
-    ``header_s`` bounds the time for the header of a first request.
+    ``header_s`` limits the time in which the header of a connection's first request
+    must arrive.
     """
 
     max_body_bytes: int
@@ -179,7 +182,7 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """A whole configuration; ``number`` grows with each newer one."""
+    """A complete configuration; each newer one has a larger ``number``."""
 
     number: int
     routes_by_host: dict[str, tuple[Route, ...]]
@@ -189,6 +192,6 @@
     limits: CallerLimits
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of ``path``, if there is one."""
+        """Return the route with the longest matching prefix of ``path``, if any."""
         routes = self.routes_by_host.get(host.lower(), ())
         return next((r for r in routes if path.startswith(r.prefix)), None)
--- a/packages/node/src/eelgrass_node/version/model.py
+++ b/packages/node/src/eelgrass_node/version/model.py
@@ -1,4 +1,4 @@
-"""The objects of a configuration: templates, client accounts, parameter sets."""
+"""Configuration objects: templates, client accounts and parameter sets."""
 
 from enum import Enum
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 class Kind(Enum):
-    """The kinds of configuration objects, as changes name them."""
+    """Kinds of configuration objects, with their names in changes."""
 
     TEMPLATE = "templates"
     ACCOUNT = "accounts"
@@ -30,7 +30,7 @@
 
 
 class StageKind(Enum):
-    """What a stage does, and so which interface of a back end it uses."""
+    """What a stage does; this determines which backend interface it calls."""
 
     ENCODE = "encode"
     RETRIEVE = "retrieve"
@@ -64,8 +64,8 @@
     """One stage of a template.
 
     ``service`` names the pool, engine group or plain service that runs it.
-    ``model``, ``adapter`` and ``operation`` may name a parameter, as ``$model``.
-    A stage that is not idempotent is run once at most.
+    ``model``, ``adapter``, ``operation`` and ``max_tokens`` may refer to a parameter,
+    as in ``$model``. A stage that is not idempotent runs at most once.
     """
 
     name: str
@@ -81,9 +81,10 @@
 class Template(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True
 ):
-    """A pipeline template. ``deadline_ms`` is the default and upper bound.
+    """A pipeline template.
 
-    A larger ``priority`` goes first.
+    ``deadline_ms`` is both the default and the maximum deadline of its requests.
+    Requests with a larger ``priority`` go first.
     """
 
     stages: tuple[Stage, ...]
@@ -105,10 +106,10 @@
 class ParameterSet(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True
 ):
-    """What one client account fills into one template.
+    """The parameter values of one client account for one template.
 
-    ``template_incarnation`` is the revision that created the template it was
-    written for; 0 only where the same change creates the template.
+    ``template_incarnation`` is the revision that created the template for which the
+    set was written; 0 is valid only if the same change creates the template.
     """
 
     account: AccountName
--- a/packages/node/src/eelgrass_node/version/version.py
+++ b/packages/node/src/eelgrass_node/version/version.py
@@ -1,4 +1,4 @@
-"""One configuration revision as requests use it."""
+"""One configuration revision, decoded as requests need it."""
 
 import msgspec
 
@@ -22,9 +22,10 @@
 
 
 class Version:
-    """A snapshot with the pipelines decoded so far.
+    """A configuration snapshot, with a cache of its decoded pipelines.
 
-    A request keeps the version it began with, whatever is accepted meanwhile.
+    A request uses one version from start to end, even if newer changes are accepted
+    meanwhile.
     """
 
     def __init__(self, snapshot: Snapshot) -> None:
@@ -38,7 +39,7 @@
         return self.snapshot.revision
 
     def has_template(self, name: str) -> bool:
-        """Return whether a pipeline of that name exists at all."""
+        """Return whether a template of this name exists, for any account."""
         return self.snapshot.get(Kind.TEMPLATE.value, name) is not None
 
     def account(self, name: str) -> ClientAccount | None:
@@ -49,7 +50,7 @@
         return msgspec.json.decode(entry.value, type=ClientAccount)
 
     def pipeline(self, account: AccountName, template: str) -> Pipeline | None:
-        """Return what ``account`` gets when it calls ``template``, or None."""
+        """Return the pipeline of ``template`` for ``account``, or None."""
         name = parameter_set_name(account, template)
         found = self._pipelines_by_name.get(name)
         if found is not None:
@@ -73,7 +74,7 @@
             account=parameters.account,
             key_sha256=account.key_sha256,
             stages=tuple(
-                _filled_stage(stage, template, parameters) for stage in template.stages
+                _resolve_stage(stage, template, parameters) for stage in template.stages
             ),
             deadline_ms=parameters.deadline_ms or template.deadline_ms,
             priority=template.priority if priority is None else priority,
@@ -89,7 +90,7 @@
         return found
 
 
-def _filled_stage(stage: Stage, template: Template, parameters: ParameterSet) -> Stage:
+def _resolve_stage(stage: Stage, template: Template, parameters: ParameterSet) -> Stage:
     return msgspec.structs.replace(
         stage,
         model=resolve_reference(stage.model, template, parameters),
