--- a/packages/node/tests/test_platform_codecs.py
+++ b/packages/node/tests/test_platform_codecs.py
@@ -1,4 +1,4 @@
-"""What the adapter decodes and encodes, with good input and bad."""
+"""The platform adapter's codecs, with valid and invalid input."""
 
 import msgspec
 import pytest
@@ -55,10 +55,10 @@
         ],
         "Stages": [{"Service": "st", "After": [], "Bytes": 3_000_000}],
     }
-    deeper = {**route, "Name": "r2", "Prefix": "/a/b/", "Stages": None}
-    whole = {
+    nested = {**route, "Name": "r2", "Prefix": "/a/b/", "Stages": None}
+    content = {
         "Version": 7,
-        "Routes": [route, deeper],
+        "Routes": [route, nested],
         "Services": [
             {"Name": "s1", "MaxConnections": 370, "Engine": {"Slots": 64}},
             {"Name": "st", "Segments": {"Batch": 4, "CallMs": 150, "HeadroomMb": 21}},
@@ -66,7 +66,7 @@
         "Limits": {"MaxBodyBytes": 4096, "IdleTimeoutMs": 15000},
         "Tenants": [{"Name": "t1", "ApiKeys": ["k1", "k2"], "Priority": 1}],
     }
-    return msgspec.json.encode({**whole, **changes})
+    return msgspec.json.encode({**content, **changes})
 
 
 def incoming(headers=(), target="/a/x?q=%2f", body=b""):
@@ -84,21 +84,21 @@
         assert settings.seed_gossip_addresses() == ["10.2.0.25:7740"]
         assert settings.bounds.retry_slack == 56
         assert settings.cores == 0.516
-        # The link of 5 Mbit/s is the narrower part.
+        # The link of 5 Mbit/s is the bottleneck, not the processor.
         assert settings.capacity() == 0.1
 
     def test_bounds_of_evacuations_and_cold_servers(self, tmp_path):
         file = tmp_path / "local.yaml"
-        told = "Bounds: {EvacuateMs: 4000, WarmupOverage: 1.5, WarmupSlack: 5, "
+        bounds = "Bounds: {EvacuateMs: 4000, WarmupOverage: 1.5, WarmupSlack: 5, "
         zones = 'Zones: {north: "hanoi", south: "hue"}'
-        file.write_text(SETTINGS.replace("Bounds: {", told) + zones)
+        file.write_text(SETTINGS.replace("Bounds: {", bounds) + zones)
         settings = load_host_settings(file)
         assert settings.bounds.evacuate_s == 4.0
         assert settings.bounds.warm_up == WarmUpBounds(ratio=1.5, slack=5.0)
         assert settings.region_by_data_centre == {"north": "hanoi", "south": "hue"}
 
-    # Guards against a bound that is taken for none where nothing is said of it.
-    def test_without_them_no_cold_server_gets_more_than_it_bears(self, tmp_path):
+    # Guards against reading a missing warm-up bound as "no limit".
+    def test_default_bound_of_a_cold_server_is_its_configured_rate(self, tmp_path):
         file = tmp_path / "local.yaml"
         file.write_text(SETTINGS)
         warm_up = load_host_settings(file).bounds.warm_up
@@ -107,13 +107,13 @@
     @pytest.mark.parametrize(
         "text", ["a: [", "NodeName: 3", SETTINGS.replace("PortRange", "Ports")]
     )
-    def test_a_wrong_file_names_what_is_wrong(self, tmp_path, text):
+    def test_invalid_files_are_rejected(self, tmp_path, text):
         file = tmp_path / "local.yaml"
         file.write_text(text)
         with pytest.raises(SettingsError):
             load_host_settings(file)
 
-    def test_a_missing_file(self, tmp_path):
+    def test_a_missing_file_is_rejected(self, tmp_path):
         with pytest.raises(SettingsError):
             load_host_settings(tmp_path / "none.yaml")
 
@@ -140,11 +140,11 @@
         assert deployment.account_by_key["k2"] == AccountGrant("t1", 1)
 
     def test_regions_and_warm_up(self):
-        whole = msgspec.json.decode(configuration())
-        whole["Routes"][0]["AllowedRegions"] = ["hanoi"]
-        whole["Tenants"][0]["AllowedRegions"] = ["hue", "hanoi"]
-        whole["Services"][0] |= {"WarmupS": 3.0, "WarmupPerS": 9.1}
-        deployment = decode_deployment(msgspec.json.encode(whole))
+        content = msgspec.json.decode(configuration())
+        content["Routes"][0]["AllowedRegions"] = ["hanoi"]
+        content["Tenants"][0]["AllowedRegions"] = ["hue", "hanoi"]
+        content["Services"][0] |= {"WarmupS": 3.0, "WarmupPerS": 9.1}
+        deployment = decode_deployment(msgspec.json.encode(content))
         assert deployment.match("pule.example", "/a/c").regions == {"hanoi"}
         assert deployment.match("pule.example", "/a/b/c").regions == frozenset()
         assert deployment.account_by_key["k1"].regions == {"hue", "hanoi"}
@@ -154,7 +154,7 @@
     @pytest.mark.parametrize(
         "value", [b"", b"{}", b"[1]", configuration(Version="x"), b"\xff\xfe"]
     )
-    def test_a_malformed_one_is_refused(self, value):
+    def test_malformed_configurations_are_rejected(self, value):
         with pytest.raises(ConfigurationMalformed):
             decode_deployment(value)
 
@@ -185,13 +185,13 @@
             found = decode_server(REGIONS, "i-1", server_entry(State=state))
             assert found.state is expected
 
-    def test_the_region_and_how_long_it_is_cold(self):
+    def test_region_and_remaining_warm_up(self):
         found = decode_server(REGIONS, "i-1", server_entry(WarmupLeftMs=1800))
         assert (found.region, found.warm_up_s) == ("r", 1.8)
-        # A data centre that the settings do not name is in no region.
+        # A data centre that the settings do not list has no region.
         assert decode_server({}, "i-1", server_entry()).region == ""
 
-    def test_the_start_tells_the_life(self):
+    def test_the_start_time_identifies_the_incarnation(self):
         found = decode_server(REGIONS, "i-1", server_entry())
         assert found.incarnation == ServerIncarnation(
             BackendId("i-1"), 1_769_686_082_000
@@ -231,20 +231,20 @@
         ],
         ids=str,
     )
-    def test_what_a_server_would_not_write_names_no_server(self, fields):
+    def test_invalid_or_implausible_entries_are_rejected(self, fields):
         with pytest.raises(ServerEntryMalformed):
             decode_server(REGIONS, "i-1", server_entry(**fields))
 
     @pytest.mark.parametrize(
         "value", [b"", b"\x00\xff\xfe", b"null", b"[]", b'{"Service": 3}', b"{", b'"i"']
     )
-    def test_bytes_that_cannot_be_read(self, value):
+    def test_undecodable_entries_are_rejected(self, value):
         with pytest.raises(ServerEntryMalformed):
             decode_server(REGIONS, "i-1", value)
 
 
 class TestRequests:
-    def test_what_a_caller_may_not_set_is_dropped(self):
+    def test_reserved_headers_of_callers_are_dropped(self):
         found = incoming(
             (
                 (b"Authorization", b"Bearer k1"),
@@ -266,7 +266,7 @@
         assert names == ["Host", "Eelgrassward-Attempt-Id", "X-Twice", "X-Twice"]
         assert found.target == "/a/x?q=%2f"
 
-    def test_towards_a_server(self):
+    def test_headers_of_a_call_to_a_server(self):
         deployment = decode_deployment(configuration())
         route = deployment.match("pule.example", "/a/")
         grant = AccountGrant("t1", 1)
@@ -282,7 +282,7 @@
         assert "Authorization" not in headers
         assert "Kv-Fetch" not in headers
 
-    def test_the_engine_from_which_shared_parts_are_copied(self):
+    def test_the_engine_to_copy_from_is_sent_in_a_header(self):
         route = decode_deployment(configuration()).match("pule.example", "/a/")
         routed = RoutedRequest(incoming(()), route, ServiceName("s1"), None, 6.0, 1.5)
         headers = requests.encode_request(routed, "i-1", 4.2, (), None, "10.0.0.2:80")
@@ -301,7 +301,7 @@
             (b"Host", b"second.example"),
         ],
     )
-    def test_malformed_headers_reach_no_server(self, header):
+    def test_malformed_headers_are_rejected(self, header):
         with pytest.raises(RequestMalformed):
             incoming((header,))
 
@@ -309,11 +309,11 @@
         with pytest.raises(RequestMalformed):
             requests.decode_request("GET", "/", ((b"Host", b"h"),), b"", 0.0)
 
-    def test_a_strange_prompt_only_loses_its_placement(self):
+    def test_a_malformed_prompt_shape_is_ignored(self):
         found = incoming(((b"Eelgrassward-Prompt-Prefix", b"a:b,c"),))
         assert found.prompt.prefix_key() is None
 
-    def test_shape_of_a_prompt(self):
+    def test_prompt_shape(self):
         found = incoming(
             (
                 (b"Eelgrassward-Prompt-Prefix", b"aa:800,bb:410,cc:250"),
@@ -340,12 +340,12 @@
         assert "Transfer-Encoding" not in head.headers
 
     @pytest.mark.parametrize("status", [421, 503])
-    def test_not_run_only_where_the_server_says_so(self, status):
-        said = ((b"Eelgrassward-Not-Executed", b"1"),)
-        assert requests.decode_head(status, said).not_run
+    def test_not_run_requires_the_header_or_status_421(self, status):
+        headers = ((b"Eelgrassward-Not-Executed", b"1"),)
+        assert requests.decode_head(status, headers).not_run
         assert requests.decode_head(status, ()).not_run is (status == 421)
 
-    def test_a_strange_load_is_no_load(self):
+    def test_a_malformed_load_is_ignored(self):
         raw = ((b"Eelgrassward-Engine-Load", b"1,2"),)
         assert requests.decode_head(200, raw).load is None
 
@@ -354,7 +354,7 @@
     def item(self, key, inputs):
         return BatchItem("id1", 2, 5, key, inputs, 10.9, 10.0, 0, 8)
 
-    def test_a_piece_has_a_key_or_inputs(self):
+    def test_an_item_has_a_key_or_inputs(self):
         body = stage_calls.encode_items(
             [self.item("k", ()), self.item(None, ("a:1/h",))], now=10.0
         )
@@ -377,9 +377,9 @@
         ]
 
     @pytest.mark.parametrize("body", [b"", b"{}", b'{"Items":[]}', b'{"Items":3}'])
-    def test_an_answer_that_does_not_fit(self, body):
+    def test_mismatched_responses_are_rejected(self, body):
         with pytest.raises(BatchAnswerMalformed):
             stage_calls.decode_outcomes(body, 1)
 
-    def test_the_maker_of_a_result(self):
+    def test_the_producer_of_a_result(self):
         assert stage_calls.producer_of("10.1.64.7:8080/91bd3f06e44") == "10.1.64.7:8080"
