--- a/packages/ctl/src/eelgrass_ctl/__init__.py
+++ b/packages/ctl/src/eelgrass_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of eelgrassward's operators."""
+"""``eelgrassctl``, the command line tool for operators of eelgrassward."""
--- a/packages/ctl/src/eelgrass_ctl/__main__.py
+++ b/packages/ctl/src/eelgrass_ctl/__main__.py
@@ -1,4 +1,4 @@
-"""The entry point of ``eelgrassctl``; it imports little until it runs."""
+"""Entry point of ``eelgrassctl``; imports the commands only when it runs."""
 
 import sys
 
--- a/packages/ctl/src/eelgrass_ctl/cli.py
+++ b/packages/ctl/src/eelgrass_ctl/cli.py
@@ -1,4 +1,4 @@
-"""Parses the command line and turns errors into exit codes."""
+"""Parses the command line and maps errors to exit codes."""
 
 import sys
 
--- a/packages/ctl/src/eelgrass_ctl/client.py
+++ b/packages/ctl/src/eelgrass_ctl/client.py
@@ -1,4 +1,4 @@
-"""Calls to a node's operator interface."""
+"""HTTP client for the operator interface of nodes."""
 
 import asyncio
 import os
@@ -19,23 +19,23 @@
 
 
 class Target(msgspec.Struct, frozen=True):
-    """The nodes to ask, one after the other, and the operators' token."""
+    """The nodes to try in turn, and the operators' token."""
 
     nodes: list[str]
     token: str
 
 
 def target_of(node: list[str]) -> Target:
-    """Return the target named by options, or else by the environment."""
+    """Return the target that the options give, or else the environment."""
     nodes = node or os.environ.get(NODES_VARIABLE, "127.0.0.1:8081").split(",")
     return Target(nodes, os.environ.get(TOKEN_VARIABLE, ""))
 
 
 def call(target: Target, path: str, message: Any = None) -> Any:
-    """Make one call, a POST where there is a message, and return the answer.
+    """Make one call and return the decoded response; POST if there is a message.
 
-    The next node is asked where one cannot be reached. A change carries an id
-    and takes effect once, so it may be sent to a second node.
+    If a node does not answer, the next one is tried. This is safe for changes: each
+    carries an id by which it takes effect only once.
     """
     return asyncio.run(_call(target, path, message))
 
@@ -60,11 +60,11 @@
     async with session.request(method, url, data=data) as response:
         body = await response.read()
         if response.status != HTTP_OK:
-            raise NodeRefused(_reason(response.status, body))
+            raise NodeRefused(_error_reason(response.status, body))
         return msgspec.json.decode(body)
 
 
-def _reason(status: int, body: bytes) -> str:
+def _error_reason(status: int, body: bytes) -> str:
     try:
         return msgspec.json.decode(body)["error"]
     except (msgspec.MsgspecError, KeyError, TypeError):
--- a/packages/ctl/src/eelgrass_ctl/commands/__init__.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The commands, one module each."""
+"""The commands of ``eelgrassctl``, one module each."""
 
 from .apply import apply
 from .change import change
--- a/packages/ctl/src/eelgrass_ctl/commands/apply.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/apply.py
@@ -44,23 +44,23 @@
     node: list[str] = [],  # noqa: B006
     json: bool = False,
 ) -> int:
-    """Submit the change in a file; it takes effect whole or is refused.
+    """Submit the change in a file; it takes effect completely or is refused.
 
-    Give the same change id again to learn what became of a change whose
-    answer was lost.
+    If the answer was lost, submit the change again with the same change id to learn
+    its outcome; it takes effect only once.
 
     :param file: a YAML file with ``items``; see the operator's page
-    :param change_id: an id of your own for the change
+    :param change_id: your own id for the change
     :param author: who makes the change; your user name by default
     :param node: internal address of a node, several to try in turn
     :param json: print JSON for scripts
     """
-    read = _read(file)
-    chosen_id = change_id or read.change_id or new_id("change")
+    change_file = _read_file(file)
+    chosen_id = change_id or change_file.change_id or new_id("change")
     message = {
         "change_id": chosen_id,
         "author": author or getpass.getuser(),
-        "items": [_message_of(item) for item in read.items],
+        "items": [_to_message(item) for item in change_file.items],
     }
     report = call(target_of(node), "changes", message)
     if json:
@@ -73,14 +73,14 @@
     return code
 
 
-def _read(file: Path) -> _ChangeFile:
+def _read_file(file: Path) -> _ChangeFile:
     try:
         return msgspec.convert(yaml.safe_load(file.read_text()), _ChangeFile)
     except (OSError, yaml.YAMLError, msgspec.ValidationError) as error:
         raise ChangeFileError(str(file), str(error)) from error
 
 
-def _message_of(item: _Item) -> dict[str, Any]:
+def _to_message(item: _Item) -> dict[str, Any]:
     return {
         "kind": item.kind,
         "name": item.name,
--- a/packages/ctl/src/eelgrass_ctl/commands/change.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/change.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl change``: what became of a change."""
+"""``eelgrassctl change``: show the outcome of a change."""
 
 from ..client import call, target_of
 from ..exceptions import ExitCode
@@ -13,7 +13,7 @@
     node: list[str] = [],  # noqa: B006
     json: bool = False,
 ) -> int:
-    """Tell whether a change was accepted, and at which revision.
+    """Show whether a change was accepted, and at which revision.
 
     :param change_id: the id that ``apply`` printed
     :param node: internal address of a node, several to try in turn
--- a/packages/ctl/src/eelgrass_ctl/commands/check.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/check.py
@@ -15,7 +15,7 @@
     """Check a settings file without starting a node.
 
     :param settings: the YAML file of a node's settings
-    :param platform: the file has the format of the users' platform
+    :param platform: the file has the format that the platform provides
     """
     try:
         if platform:
--- a/packages/ctl/src/eelgrass_ctl/commands/claims.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/claims.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl claims``: keyed requests that have no end yet."""
+"""``eelgrassctl claims``: list keyed requests without a final outcome."""
 
 from ..client import call, target_of
 from ..exceptions import ExitCode
@@ -14,7 +14,7 @@
     node: list[str] = [],  # noqa: B006
     json: bool = False,
 ) -> int:
-    """List keyed requests that run or whose outcome is unknown.
+    """List keyed requests that are running or whose outcome is unknown.
 
     :param node: internal address of a node, several to try in turn
     :param json: print JSON for scripts
--- a/packages/ctl/src/eelgrass_ctl/commands/costs.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/costs.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl costs``: cost by stage."""
+"""``eelgrassctl costs``: show the costs of stages."""
 
 from ..client import call, target_of
 from ..exceptions import ExitCode
@@ -25,9 +25,9 @@
     node: list[str] = [],  # noqa: B006
     json: bool = False,
 ) -> int:
-    """Show cost by stage: of one node since it started, or of all that is stored.
+    """Show the costs of stages: of one node since its start, or all stored costs.
 
-    :param all: add up what all nodes have stored, also those that are gone
+    :param all: sum up the stored costs of all nodes, including stopped ones
     :param node: internal address of a node, several to try in turn
     :param json: print JSON for scripts
     """
--- a/packages/ctl/src/eelgrass_ctl/commands/crashes.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/crashes.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl crashes``: requests under which servers have ended."""
+"""``eelgrassctl crashes``: list or clear requests that servers crashed under."""
 
 import asyncio
 
@@ -13,28 +13,28 @@
 
 
 def crashes(store: str, *, clear: str = "", json: bool = False) -> int:
-    """Show the requests under which servers have ended, those with most ends first.
+    """List requests under which servers crashed, those with most crashes first.
 
-    A held request is sent to no server until an hour after the last end. Clear it where
-    the servers can run it by now: nodes let it in again at once.
+    Nodes send a held request to no server until an hour after its last crash. If
+    servers can run it by now, clear it: nodes then accept it again at once.
 
     :param store: the address of the platform's store
-    :param clear: forget all ends under the request with this fingerprint
+    :param clear: remove all crashes of the request with this fingerprint
     :param json: print JSON for scripts
     """
     if clear:
         cleared = asyncio.run(clear_request(store, clear))
-        print(f"{cleared} ends under request {clear} are forgotten.")
+        print(f"Removed {cleared} crashes of request {clear}.")
         return ExitCode.DONE
     print_list(asyncio.run(read_crashes(store)), HEAD, _row, json)
     return ExitCode.DONE
 
 
-def _row(ends: RequestCrashes) -> tuple:
+def _row(found: RequestCrashes) -> tuple:
     return (
-        ends.request,
-        len(ends.servers),
-        "yes" if ends.is_quarantined else "no",
-        format_time(ends.last_ms / MS_PER_S),
-        " ".join(ends.servers),
+        found.request,
+        len(found.servers),
+        "yes" if found.is_quarantined else "no",
+        format_time(found.last_ms / MS_PER_S),
+        " ".join(found.servers),
     )
--- a/packages/ctl/src/eelgrass_ctl/commands/drain.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/drain.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl drain``: stop a node as planned."""
+"""``eelgrassctl drain``: stop a node gracefully."""
 
 from ..client import call, target_of
 from ..exceptions import ExitCode
@@ -7,7 +7,7 @@
 
 
 def drain(node: str) -> int:
-    """Begin the planned stop of one node; it finishes what is in flight.
+    """Start the planned stop of one node; it finishes its requests in flight.
 
     :param node: internal address of the node to stop
     """
--- a/packages/ctl/src/eelgrass_ctl/commands/explain.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/explain.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl explain``: one request's story from log files."""
+"""``eelgrassctl explain``: show the timeline of a request from log files."""
 
 import sys
 from collections.abc import Iterator
@@ -11,17 +11,17 @@
 
 
 def explain(request_id: str, *logs: Path) -> int:
-    """Print all that the logs tell of a request, across hosts and in order.
+    """Print all log lines about a request, from all hosts and in order of time.
 
     :param request_id: the id that the caller sent
-    :param logs: log files of the hosts; standard input where none is given
+    :param logs: log files of the hosts; standard input if none is given
     """
-    story = timeline_of(request_id, _lines(logs))
-    if not story:
-        print(f"No line tells of request {request_id}. Give the logs of all hosts.")
+    timeline = timeline_of(request_id, _lines(logs))
+    if not timeline:
+        print(f"No log line is about request {request_id}. Give the logs of all hosts.")
         return ExitCode.REFUSED
-    for line in story:
-        print(line.text(story[0].timestamp))
+    for line in timeline:
+        print(line.text(timeline[0].timestamp))
     return ExitCode.DONE
 
 
--- a/packages/ctl/src/eelgrass_ctl/commands/history.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/history.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl history``: the latest changes."""
+"""``eelgrassctl history``: list the latest changes."""
 
 from ..client import call, target_of
 from ..exceptions import ExitCode
@@ -30,9 +30,9 @@
         format_time(change["at"]),
         change["author"],
         change["change_id"],
-        ", ".join(map(_described, change["items"])),
+        ", ".join(map(_describe, change["items"])),
     )
 
 
-def _described(item: dict) -> str:
+def _describe(item: dict) -> str:
     return f"{item['action']} {item['kind']}/{item['name']}"
--- a/packages/ctl/src/eelgrass_ctl/commands/hosts.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/hosts.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl hosts``: the nodes on the users' platform, side by side."""
+"""``eelgrassctl hosts``: compare the nodes on the platform."""
 
 import asyncio
 from collections.abc import Sequence
@@ -19,8 +19,8 @@
 
 __all__ = ["hosts"]
 
-# Up to so many nodes each has a line of its own: they fit on one screen.
-MAX_SINGLE = 20
+# Up to this many nodes get a line each, as these fit on one screen.
+MAX_SINGLE_ROWS = 20
 HEAD = (
     "metrics address",
     "version",
@@ -51,69 +51,78 @@
     each: bool = False,
     json: bool = False,
 ) -> int:
-    """Show what each node tells of itself, and whether all agree with the store.
+    """Show the state of each node, and whether all agree with the store.
 
-    Nodes that need a look come first, with the reasons. Where there are many, those
-    that need none are put together.
+    Nodes that need attention come first, with the reasons. If there are many nodes,
+    the others are grouped by state.
 
     :param metrics: the metrics addresses of the nodes
-    :param file: a file with more addresses, one a line
-    :param match: show only nodes whose address fits, for example '10.2.*'
+    :param file: a file with more addresses, one per line
+    :param match: show only nodes whose address matches, for example '10.2.*'
     :param store: the address of the platform's store
-    :param each: give each node a line, however many there are
+    :param each: print a line for each node, even if there are many
     :param json: print JSON for scripts
     """
     found = filter_by_address(
-        asyncio.run(read_hosts([*metrics, *_listed(file)])), match
+        asyncio.run(read_hosts([*metrics, *_read_addresses(file)])), match
+    )
+    store_state = asyncio.run(read_store(store)) if store else None
+    reviews = review(found, None if store_state is None else store_state.version)
+    evacuations = summarise_evacuations(
+        found, () if store_state is None else store_state.evacuated
     )
-    newest = asyncio.run(read_store(store)) if store else None
-    reviews = review(found, None if newest is None else newest.version)
-    emptied = summarise_evacuations(found, () if newest is None else newest.evacuated)
     if json:
-        shown = {"hosts": found, "store": newest, "reviews": _needing(reviews)}
-        print_json({**shown, "evacuations": emptied})
+        shown = {
+            "hosts": found,
+            "store": store_state,
+            "reviews": _needing_attention(reviews),
+        }
+        print_json({**shown, "evacuations": evacuations})
     else:
-        _print(reviews, newest, each or len(found) <= MAX_SINGLE)
-        for evacuation in emptied:
+        _print(reviews, store_state, each or len(found) <= MAX_SINGLE_ROWS)
+        for evacuation in evacuations:
             print(_evacuation_line(evacuation))
-    return ExitCode.DONE if _agree(found, newest) else ExitCode.NOT_EVERYWHERE
+    return ExitCode.DONE if _all_agree(found, store_state) else ExitCode.NOT_EVERYWHERE
 
 
 def _print(
-    reviews: Sequence[HostReview], newest: StoreState | None, single: bool
+    reviews: Sequence[HostReview], store_state: StoreState | None, one_row_each: bool
 ) -> None:
-    needing = _needing(reviews)
-    if single:
+    needing_attention = _needing_attention(reviews)
+    if one_row_each:
         print_table(HEAD, (_row(reviewed.host) for reviewed in reviews))
     else:
         others = [reviewed for reviewed in reviews if not reviewed.reasons]
         print_table(GROUP_HEAD, map(_group_row, group_hosts(others)))
-    for reviewed in needing:
+    for reviewed in needing_attention:
         print(f"Look at {reviewed.host.address}: {'; '.join(reviewed.reasons)}.")
-    if newest is not None:
-        print(f"Store: version {newest.version}, {newest.servers} servers listed.")
+    if store_state is not None:
+        print(
+            f"Store: version {store_state.version},"
+            f" {store_state.servers} servers listed."
+        )
 
 
 def _evacuation_line(evacuation: EvacuationView) -> str:
     return (
-        f"Emptied: {evacuation.data_centre} at {evacuation.in_force_at} of"
+        f"Evacuated: {evacuation.data_centre} at {evacuation.in_force_at} of"
         f" {evacuation.nodes} nodes, for {evacuation.since_s:.0f} s;"
         f" {evacuation.in_flight} requests still run there."
     )
 
 
-def _needing(reviews: Sequence[HostReview]) -> list[HostReview]:
+def _needing_attention(reviews: Sequence[HostReview]) -> list[HostReview]:
     return [reviewed for reviewed in reviews if reviewed.reasons]
 
 
-def _agree(found: Sequence[HostMetrics], newest: StoreState | None) -> bool:
+def _all_agree(found: Sequence[HostMetrics], store_state: StoreState | None) -> bool:
     versions = {host.version for host in found if host.silent is None}
-    if newest is not None:
-        versions.add(newest.version)
+    if store_state is not None:
+        versions.add(store_state.version)
     return len(versions) <= 1 and not any(host.silent for host in found)
 
 
-def _listed(file: str) -> list[str]:
+def _read_addresses(file: str) -> list[str]:
     if not file:
         return []
     try:
--- a/packages/ctl/src/eelgrass_ctl/commands/resolve.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/resolve.py
@@ -15,11 +15,11 @@
     node: list[str] = [],  # noqa: B006
     json: bool = False,
 ) -> int:
-    """Close a claim after finding out what happened; it never runs again.
+    """Close a claim whose outcome you have found out; it never runs again.
 
     :param account: the client account
     :param key: the idempotency key
-    :param note: what you found; callers who repeat the request read it
+    :param note: your finding; callers that repeat the request receive it
     :param node: internal address of a node, several to try in turn
     :param json: print JSON for scripts
     """
--- a/packages/ctl/src/eelgrass_ctl/commands/show.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/show.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl show``: configuration objects."""
+"""``eelgrassctl show``: show configuration objects."""
 
 from urllib.parse import quote
 
@@ -16,10 +16,10 @@
     node: list[str] = [],  # noqa: B006
     json: bool = False,
 ) -> int:
-    """Show objects in the form that ``apply`` takes as amendments.
+    """Show objects in the format in which ``apply`` accepts amendments.
 
     :param kind: templates, accounts or parameters
-    :param name: only this object; a parameter set is named account/template
+    :param name: show only this object; a parameter set is named account/template
     :param node: internal address of a node, several to try in turn
     :param json: print JSON for scripts
     """
--- a/packages/ctl/src/eelgrass_ctl/commands/status.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/status.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl status``: what a node knows and does."""
+"""``eelgrassctl status``: show the state of a node."""
 
 from typing import Any
 
--- a/packages/ctl/src/eelgrass_ctl/crash_rows.py
+++ b/packages/ctl/src/eelgrass_ctl/crash_rows.py
@@ -1,4 +1,7 @@
-"""The ends of servers under requests, as the platform's store keeps them."""
+"""Reads and removes the rows in which nodes record crashes of servers.
+
+Each row in the platform's store says that one server crashed while it ran one request.
+"""
 
 from collections.abc import AsyncIterator, Iterable, Iterator
 from contextlib import asynccontextmanager, suppress
@@ -19,9 +22,9 @@
 
 
 class RequestCrashes(msgspec.Struct, frozen=True):
-    """The servers that ended under a request, the first one first.
+    """The servers that crashed while they ran a request, in order of time.
 
-    ``last_ms`` is the time of the last end, in Unix milliseconds.
+    ``last_ms`` is the time of the last crash, in Unix milliseconds.
     """
 
     request: str
@@ -30,33 +33,42 @@
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether nodes send the request to no server, unless others explain it."""
+        """Whether the crashes suffice for nodes to quarantine the request.
+
+        Nodes do not quarantine it if other requests explain the crashes.
+        """
         return len(self.servers) >= MAX_CRASHES
 
 
 async def read_crashes(address: str) -> list[RequestCrashes]:
-    """Read the store, requests with most ends first; raises StoreUnreadable."""
-    async with _opened(address) as store:
+    """Return crashes by request, most crashes first; raises StoreUnreadable."""
+    async with _open_store(address) as store:
         changes = await store.read_table(CRASHES_TABLE)
-    ends_by_request: dict[str, list[Crash]] = {}
-    for _, end in _readable(changes.rows):
-        ends_by_request.setdefault(end.request, []).append(end)
-    found = [_summed_up(request, ends) for request, ends in ends_by_request.items()]
-    return sorted(found, key=lambda ends: (-len(ends.servers), -ends.last_ms))
+    crashes_by_request: dict[str, list[Crash]] = {}
+    for _, crash in _decodable_rows(changes.rows):
+        crashes_by_request.setdefault(crash.request, []).append(crash)
+    found = [
+        _summarise(request, crashes) for request, crashes in crashes_by_request.items()
+    ]
+    return sorted(found, key=lambda crashes: (-len(crashes.servers), -crashes.last_ms))
 
 
 async def clear_request(address: str, request: str) -> int:
-    """Remove the rows of a request; return how many. Raises StoreUnreadable."""
-    async with _opened(address) as store:
+    """Remove a request's rows and return their number; raises StoreUnreadable."""
+    async with _open_store(address) as store:
         changes = await store.read_table(CRASHES_TABLE)
-        keys = [key for key, end in _readable(changes.rows) if end.request == request]
+        keys = [
+            key
+            for key, crash in _decodable_rows(changes.rows)
+            if crash.request == request
+        ]
         if keys:
             await store.write(CRASHES_TABLE, {}, keys)
     return len(keys)
 
 
 @asynccontextmanager
-async def _opened(address: str) -> AsyncIterator[RowStore]:
+async def _open_store(address: str) -> AsyncIterator[RowStore]:
     store = RowStore(address)
     try:
         yield store
@@ -66,13 +78,15 @@
         await store.close()
 
 
-def _readable(rows: Iterable[StoredRow]) -> Iterator[tuple[str, Crash]]:
-    """Return key and end of each row; nodes log those that cannot be read."""
+def _decodable_rows(rows: Iterable[StoredRow]) -> Iterator[tuple[str, Crash]]:
+    """Yield key and crash of each row; nodes log rows that cannot be decoded."""
     for row in rows:
         with suppress(msgspec.MsgspecError):
             yield row.key, decode_crash(row.value or b"")
 
 
-def _summed_up(request: str, ends: list[Crash]) -> RequestCrashes:
-    ends.sort(key=lambda end: end.at_ms)
-    return RequestCrashes(request, tuple(e.server.id for e in ends), ends[-1].at_ms)
+def _summarise(request: str, crashes: list[Crash]) -> RequestCrashes:
+    crashes.sort(key=lambda crash: crash.at_ms)
+    return RequestCrashes(
+        request, tuple(e.server.id for e in crashes), crashes[-1].at_ms
+    )
--- a/packages/ctl/src/eelgrass_ctl/exceptions.py
+++ b/packages/ctl/src/eelgrass_ctl/exceptions.py
@@ -1,4 +1,4 @@
-"""The exception tree of the operators' command line."""
+"""Exceptions and exit codes of ``eelgrassctl``."""
 
 from enum import IntEnum
 
@@ -15,7 +15,7 @@
 
 
 class ExitCode(IntEnum):
-    """The exit codes of every command."""
+    """Exit codes of all commands."""
 
     DONE = 0
     REFUSED = 1
@@ -26,7 +26,7 @@
 
 
 class CommandError(Exception):
-    """Base of all errors that end a command; ``code`` is its exit code."""
+    """Base of all errors that terminate a command with exit code ``code``."""
 
     code = ExitCode.WRONG_INPUT
 
@@ -53,22 +53,22 @@
 
 
 class ChangeFileError(CommandError):
-    """A file with a change is wrong."""
+    """A change file is invalid."""
 
     def __init__(self, file: str, reason: str) -> None:
         super().__init__(
             f"{file}: {reason}. Correct the file; 'eelgrassctl show' prints objects "
-            "in the form that it takes."
+            "in the required format."
         )
 
 
 class AddressesUnreadable(CommandError):
-    """A file with addresses cannot be read."""
+    """A file with metrics addresses cannot be read."""
 
     def __init__(self, file: str, reason: str) -> None:
         super().__init__(
             f"{file}: {reason}. Give the path of a text file with one IP address and "
-            "metrics port a line."
+            "metrics port per line."
         )
 
 
@@ -80,7 +80,7 @@
 
 
 class StoreUnreadable(CommandError):
-    """The platform's store cannot be read."""
+    """The platform's store gave no valid response."""
 
     code = ExitCode.NO_NODE
 
--- a/packages/ctl/src/eelgrass_ctl/host_metrics.py
+++ b/packages/ctl/src/eelgrass_ctl/host_metrics.py
@@ -1,4 +1,4 @@
-"""What the nodes on the users' platform tell of themselves, and the store."""
+"""Reads the state of platform nodes from their metrics, and of the store."""
 
 import asyncio
 from collections.abc import Sequence
@@ -27,14 +27,17 @@
     "read_store",
 ]
 
-# A host that does not answer within this, in seconds, is shown as silent.
-SCRAPE_S = 2.0
+# A node that does not answer within this time, in seconds, is shown as silent.
+SCRAPE_TIMEOUT_S = 2.0
 PREFIX = "eelgrassward_"
 HTTP_OK = 200
 
 
 class EvacuatedDataCentre(msgspec.Struct, frozen=True):
-    """A data centre that a node sends no new work to, and what it still has there."""
+    """A data centre that a node evacuates: it sends no new work there.
+
+    ``in_flight`` counts its requests that still run there.
+    """
 
     data_centre: str
     since_s: float
@@ -42,7 +45,7 @@
 
 
 class HostMetrics(msgspec.Struct, frozen=True):
-    """One node, from its metrics; ``silent`` says why it did not answer."""
+    """The metrics of one node; ``silent`` is the reason if it did not answer."""
 
     address: str
     silent: str | None = None
@@ -59,9 +62,9 @@
 
 
 class StoreState(msgspec.Struct, frozen=True):
-    """What the store says: the newest configuration, and the servers listed.
+    """The newest configuration version in the store and the number of listed servers.
 
-    ``evacuated`` names the data centres that are to be emptied.
+    ``evacuated`` names the data centres that are to be evacuated.
     """
 
     version: int
@@ -70,24 +73,24 @@
 
 
 async def read_hosts(addresses: Sequence[str]) -> list[HostMetrics]:
-    """Return the metrics of all nodes, in the order of their addresses."""
-    timeout = aiohttp.ClientTimeout(total=SCRAPE_S)
+    """Return the metrics of all nodes, in the order of ``addresses``."""
+    timeout = aiohttp.ClientTimeout(total=SCRAPE_TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as session:
-        return await asyncio.gather(*(_read(session, a) for a in addresses))
+        return await asyncio.gather(*(_scrape(session, a) for a in addresses))
 
 
-async def _read(session: aiohttp.ClientSession, address: str) -> HostMetrics:
+async def _scrape(session: aiohttp.ClientSession, address: str) -> HostMetrics:
     try:
         async with session.get(f"http://{address}/metrics") as response:
             text = await response.text()
             if response.status != HTTP_OK:
                 return HostMetrics(address, f"status {response.status}")
-        return _host(address, text)
+        return _parse_metrics(address, text)
     except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
         return HostMetrics(address, str(error) or type(error).__name__)
 
 
-def _host(address: str, text: str) -> HostMetrics:
+def _parse_metrics(address: str, text: str) -> HostMetrics:
     samples = [
         (sample.name.removeprefix(PREFIX), sample.labels, sample.value)
         for family in text_string_to_metric_families(text)
@@ -131,13 +134,13 @@
 
     in_flight = by_data_centre("evacuated_in_flight")
     return tuple(
-        EvacuatedDataCentre(place, since_s, int(in_flight.get(place, 0)))
-        for place, since_s in sorted(by_data_centre("evacuated_seconds").items())
+        EvacuatedDataCentre(data_centre, since_s, int(in_flight.get(data_centre, 0)))
+        for data_centre, since_s in sorted(by_data_centre("evacuated_seconds").items())
     )
 
 
 async def read_store(address: str) -> StoreState:
-    """Read the store; raises :class:`StoreUnreadable`."""
+    """Return the state of the store; raises :class:`StoreUnreadable`."""
     store = RowStore(address)
     try:
         operator = await store.read_table(OPERATOR_TABLE)
--- a/packages/ctl/src/eelgrass_ctl/host_review.py
+++ b/packages/ctl/src/eelgrass_ctl/host_review.py
@@ -1,4 +1,4 @@
-"""Which of many nodes need a look, and why: what differs from most of them."""
+"""Finds the nodes that need attention: those that differ from most others."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -23,14 +23,14 @@
 
 
 class HostReview(msgspec.Struct, frozen=True):
-    """A node and why it needs a look, in short sentences; none where it does not."""
+    """A node and the reasons why it needs attention; none if it needs none."""
 
     host: HostMetrics
     reasons: tuple[str, ...]
 
 
 class HostGroup(msgspec.Struct, frozen=True):
-    """Nodes that tell the same of what all should agree on."""
+    """Nodes that report the same version, members and usable servers."""
 
     version: int
     members: int
@@ -42,10 +42,10 @@
 
 
 class EvacuationView(msgspec.Struct, frozen=True):
-    """A data centre that is emptied, over all nodes that answer.
+    """The evacuation of a data centre, over all nodes that answer.
 
-    ``in_force_at`` counts the nodes that send nothing more there, and ``in_flight``
-    what they still have running there. ``since_s`` is the longest time at any of them.
+    ``in_force_at`` counts the nodes that send no new work there, and ``in_flight``
+    their requests that still run there. ``since_s`` is the longest time at any of them.
     """
 
     data_centre: str
@@ -56,53 +56,59 @@
 
 
 def summarise_evacuations(
-    hosts: Sequence[HostMetrics], wanted: Iterable[str]
+    hosts: Sequence[HostMetrics], requested: Iterable[str]
 ) -> list[EvacuationView]:
-    """Return the data centres that are emptied, by the store or by any node."""
+    """Summarise all evacuations that the store requests or a node carries out."""
     answering = [host for host in hosts if host.silent is None]
-    told = [emptied for host in answering for emptied in host.evacuated]
-    places = {emptied.data_centre for emptied in told} | set(wanted)
-    return [_evacuation(place, told, len(answering)) for place in sorted(places)]
+    reported = [entry for host in answering for entry in host.evacuated]
+    data_centres = {entry.data_centre for entry in reported} | set(requested)
+    return [
+        _evacuation(data_centre, reported, len(answering))
+        for data_centre in sorted(data_centres)
+    ]
 
 
 def _evacuation(
-    place: str, told: Sequence[EvacuatedDataCentre], nodes: int
+    data_centre: str, reported: Sequence[EvacuatedDataCentre], nodes: int
 ) -> EvacuationView:
-    here = [emptied for emptied in told if emptied.data_centre == place]
+    here = [entry for entry in reported if entry.data_centre == data_centre]
     return EvacuationView(
-        data_centre=place,
+        data_centre=data_centre,
         in_force_at=len(here),
         nodes=nodes,
-        since_s=max((emptied.since_s for emptied in here), default=0.0),
-        in_flight=sum(emptied.in_flight for emptied in here),
+        since_s=max((entry.since_s for entry in here), default=0.0),
+        in_flight=sum(entry.in_flight for entry in here),
     )
 
 
 def filter_by_address(hosts: Iterable[HostMetrics], pattern: str) -> list[HostMetrics]:
-    """Return the nodes whose address fits a pattern such as ``10.2.*``."""
+    """Return the nodes whose address matches a pattern such as ``10.2.*``."""
     return [host for host in hosts if fnmatchcase(host.address, pattern)]
 
 
 def review(hosts: Sequence[HostMetrics], newest: int | None) -> list[HostReview]:
-    """Return all nodes, those that need a look most first.
+    """Return all nodes, those that need most attention first.
 
-    ``newest`` is the version in the store, where it was read. Members and servers
-    have no right number here: a node stands out where it differs from most.
+    ``newest`` is the version in the store, None if the store was not read. The correct
+    numbers of members and servers are unknown here, so a node is reported if its
+    numbers differ from those of most nodes.
     """
     answering = [host for host in hosts if host.silent is None]
-    version = _most(host.version for host in answering) if newest is None else newest
-    members = _most(host.members for host in answering)
-    servers = _most(host.servers for host in answering)
-    emptied = _most(map(_emptied_places, answering))
+    version = (
+        _most_common(host.version for host in answering) if newest is None else newest
+    )
+    members = _most_common(host.members for host in answering)
+    servers = _most_common(host.servers for host in answering)
+    evacuated = _most_common(map(_evacuated_data_centres, answering))
     reviews = [
-        HostReview(host, tuple(_reasons(host, version, members, servers, emptied)))
+        HostReview(host, tuple(_reasons(host, version, members, servers, evacuated)))
         for host in hosts
     ]
     return sorted(reviews, key=_urgency)
 
 
 def group_hosts(reviews: Iterable[HostReview]) -> list[HostGroup]:
-    """Return the nodes that need no look, put together, the largest group first."""
+    """Group nodes by the state that they report, the largest group first."""
     by_state: dict[tuple[int, int, int], list[HostMetrics]] = {}
     for reviewed in reviews:
         host = reviewed.host
@@ -122,7 +128,7 @@
 
 
 def _reasons(
-    host: HostMetrics, version: int, members: int, servers: int, emptied: str
+    host: HostMetrics, version: int, members: int, servers: int, evacuated: str
 ) -> Iterable[str]:
     if host.silent is not None:
         yield f"no answer: {host.silent}"
@@ -130,18 +136,18 @@
     if host.version != version:
         yield f"version {host.version} in place of {version}"
     if not host.store_reachable:
-        yield "the store is lost"
+        yield "it cannot reach the store"
     if host.members != members:
         yield f"{host.members} members, most have {members}"
     if host.servers != servers:
-        yield f"{host.servers} servers listed, at most nodes {servers}"
-    if _emptied_places(host) != emptied:
-        here = _emptied_places(host) or "no data centre"
-        yield f"empties {here}, most empty {emptied or 'none'}"
+        yield f"{host.servers} servers listed, most have {servers}"
+    if _evacuated_data_centres(host) != evacuated:
+        here = _evacuated_data_centres(host) or "no data centre"
+        yield f"evacuates {here}, most evacuate {evacuated or 'none'}"
 
 
-def _emptied_places(host: HostMetrics) -> str:
-    return ", ".join(emptied.data_centre for emptied in host.evacuated)
+def _evacuated_data_centres(host: HostMetrics) -> str:
+    return ", ".join(entry.data_centre for entry in host.evacuated)
 
 
 def _urgency(reviewed: HostReview) -> tuple[bool, int, str]:
@@ -150,6 +156,6 @@
     return (host.silent is None, -len(reviewed.reasons), host.address)
 
 
-def _most(values: Iterable[T]) -> T | None:
+def _most_common(values: Iterable[T]) -> T | None:
     counted = Counter(values).most_common(1)
     return counted[0][0] if counted else None
--- a/packages/ctl/src/eelgrass_ctl/output.py
+++ b/packages/ctl/src/eelgrass_ctl/output.py
@@ -1,4 +1,4 @@
-"""How commands print: for people by default, as JSON for scripts."""
+"""Printing of results: tables or YAML for people, JSON for scripts."""
 
 from collections.abc import Callable, Iterable, Sequence
 from datetime import UTC, datetime
@@ -21,11 +21,11 @@
 
 
 def print_table(head: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Print rows in aligned columns under a head; rows may be shorter than it."""
+    """Print rows in aligned columns under a head; rows may have fewer cells."""
     lines = [[str(cell) for cell in row] for row in (head, *rows)]
-    # The last cell of a shorter row may be a sentence, which widens no column.
-    whole = [line for line in lines if len(line) == len(head)]
-    widths = [max(len(line[n]) for line in whole) for n in range(len(head))]
+    # The last cell of a shorter row may be a sentence and must not widen its column.
+    full_lines = [line for line in lines if len(line) == len(head)]
+    widths = [max(len(line[n]) for line in full_lines) for n in range(len(head))]
     widths[0] = max(len(line[0]) for line in lines)
     for line in lines:
         cells = (cell.ljust(width) for cell, width in zip(line, widths, strict=False))
@@ -38,7 +38,7 @@
     row: Callable[[Any], Sequence[Any]],
     json: bool,
 ) -> None:
-    """Print what a list command has found, as JSON or as a table of rows."""
+    """Print the results of a list command, as JSON or as a table."""
     if json:
         print_json(found)
     else:
@@ -46,5 +46,5 @@
 
 
 def format_time(timestamp: float) -> str:
-    """Return a time in seconds since 1970 as people and scripts read it."""
+    """Return a time in seconds since 1970 (Unix time) in ISO 8601 format."""
     return datetime.fromtimestamp(timestamp, UTC).isoformat("T", "seconds")
--- a/packages/ctl/src/eelgrass_ctl/timeline.py
+++ b/packages/ctl/src/eelgrass_ctl/timeline.py
@@ -1,4 +1,4 @@
-"""One request's story, put together from the log lines of all hosts."""
+"""Collects the timeline of one request from the log lines of all hosts."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -7,31 +7,33 @@
 
 __all__ = ["LogLine", "timeline_of"]
 
-# What every line carries and nobody asks for.
-_FRAME = frozenset(("message", "timestamp", "task_uuid", "task_level", "message_type"))
+# Fields of every line that say nothing about the request.
+_ENVELOPE_FIELDS = frozenset(
+    ("message", "timestamp", "task_uuid", "task_level", "message_type")
+)
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """A log line; ``origin`` is what stood before it, such as a host's name."""
+    """A log line; ``origin`` is the text before its JSON, such as a host name."""
 
     timestamp: float
     origin: str
     sentence: str
     fields: dict[str, Any]
 
-    def text(self, first: float) -> str:
-        """Return the line for a reader, with seconds since ``first``."""
+    def text(self, start: float) -> str:
+        """Return the line as text, with its time in seconds since ``start``."""
         shown = " ".join(f"{name}={value}" for name, value in self.fields.items())
-        return f"{self.timestamp - first:8.3f}  {self.origin}  {self.sentence}  {shown}"
+        return f"{self.timestamp - start:8.3f}  {self.origin}  {self.sentence}  {shown}"
 
 
 def timeline_of(request_id: str, lines: Iterable[str]) -> list[LogLine]:
-    """Return the lines that touch a request, in the order of their time."""
-    found = [line for line in map(_parsed, lines) if _touches(line, request_id)]
+    """Return the lines that concern a request, in order of time."""
+    found = [line for line in map(_parse, lines) if _concerns(line, request_id)]
     return sorted(found, key=lambda line: line.timestamp)
 
 
-def _parsed(raw: str) -> LogLine | None:
+def _parse(raw: str) -> LogLine | None:
     origin, brace, rest = raw.partition("{")
     try:
         fields = msgspec.json.decode(brace + rest.strip())
@@ -39,12 +41,14 @@
         return None
     if not isinstance(fields, dict) or "timestamp" not in fields:
         return None
-    shown = {name: value for name, value in fields.items() if name not in _FRAME}
+    shown = {
+        name: value for name, value in fields.items() if name not in _ENVELOPE_FIELDS
+    }
     sentence = str(fields.get("message", ""))
     return LogLine(float(fields["timestamp"]), origin.strip(), sentence, shown)
 
 
-def _touches(line: LogLine | None, request_id: str) -> bool:
+def _concerns(line: LogLine | None, request_id: str) -> bool:
     if line is None:
         return False
     requests = line.fields.get("requests")
--- a/packages/ctl/tests/test_crashes.py
+++ b/packages/ctl/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl crashes`` before nodes and a store of the users' platform."""
+"""``eelgrassctl crashes`` with nodes and a stand-in for the platform's store."""
 
 import asyncio
 import importlib
@@ -17,32 +17,32 @@
 HELD, SUSPECT = Fingerprint("held"), Fingerprint("suspect")
 
 
-def end_under(node, request, *servers):
+def record_crashes(node, request, *servers):
     for server in servers:
-        life = ServerIncarnation(BackendId(server))
-        node.poison._on_crash(life, [request])
+        incarnation = ServerIncarnation(BackendId(server))
+        node.poison._on_crash(incarnation, [request])
 
 
 @pytest.fixture
 async def entry():
     async with EntryDeployment() as deployment:
-        end_under(deployment.nodes[0], HELD, "e1", "e2")
-        end_under(deployment.nodes[1], HELD, "e3")
-        end_under(deployment.nodes[1], SUSPECT, "e3")
+        record_crashes(deployment.nodes[0], HELD, "e1", "e2")
+        record_crashes(deployment.nodes[1], HELD, "e3")
+        record_crashes(deployment.nodes[1], SUSPECT, "e3")
         await until(lambda: len(deployment.store.keys("crashes")) == 4)
         deployment.store.put_raw("crashes", "odd", b"?")
         yield deployment
 
 
 class TestCrashes:
-    async def test_requests_with_most_ends_come_first(self, entry):
+    async def test_requests_with_most_crashes_come_first(self, entry):
         found = await read_crashes(entry.store_address)
         assert [(e.request, len(e.servers), e.is_quarantined) for e in found] == [
             (HELD, 3, True),
             (SUSPECT, 1, False),
         ]
 
-    async def test_a_request_that_is_cleared_is_let_in_at_all_nodes(self, entry):
+    async def test_all_nodes_accept_a_cleared_request_again(self, entry):
         assert all(node.poison.quarantine.is_quarantined(HELD) for node in entry.nodes)
         assert await clear_request(entry.store_address, HELD) == 3
         await until(
@@ -51,20 +51,22 @@
         assert all(node.poison.quarantine.is_suspect(SUSPECT) for node in entry.nodes)
         assert await clear_request(entry.store_address, HELD) == 0
 
-    async def test_a_store_that_is_gone_is_said_with_a_remedy(self):
+    async def test_an_unreachable_store_is_an_error(self):
         [address] = free_addresses(1)
         with pytest.raises(StoreUnreadable):
             await read_crashes(address)
 
 
 class TestCommand:
-    def test_it_shows_what_is_held_and_what_was_cleared(self, monkeypatch, capsys):
-        ends = RequestCrashes(
+    def test_it_prints_held_requests_and_the_number_of_cleared_rows(
+        self, monkeypatch, capsys
+    ):
+        crashes = RequestCrashes(
             "a1", (BackendId("e1"), BackendId("e2")), 1_700_000_000_000
         )
 
         async def read(address):
-            return [ends]
+            return [crashes]
 
         async def clear(address, request):
             return 2
@@ -75,10 +77,10 @@
         assert run("s:1") == run("s:1", json=True) == ExitCode.DONE
         assert run("s:1", clear="a1") == ExitCode.DONE
         shown = capsys.readouterr().out
-        assert "e1 e2" in shown and "2023-11-14" in shown and "2 ends" in shown
+        assert "e1 e2" in shown and "2023-11-14" in shown and "2 crashes" in shown
 
-    def test_calls_may_overlap(self):
-        """The command makes a loop of its own, and leaves none behind."""
+    def test_the_command_closes_its_event_loop(self):
+        """A new event loop can run after the command, even if the command failed."""
         with pytest.raises(StoreUnreadable):
             crashes_command.crashes("127.0.0.1:1")
         assert asyncio.run(asyncio.sleep(0, "free")) == "free"
--- a/packages/ctl/tests/test_explain.py
+++ b/packages/ctl/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""A request's story from the logs of several hosts."""
+"""``eelgrassctl explain``: a request's timeline from the logs of several hosts."""
 
 import json
 
@@ -22,11 +22,11 @@
 ]
 
 
-class TestStory:
+class TestTimeline:
     def test_lines_of_all_hosts_in_order(self):
-        story = timeline_of("r1", LINES)
-        assert [found.origin for found in story] == ["host-2", "host-1"]
-        assert story[1].fields == {"id": "r1", "reason": "stages: late"}
+        timeline = timeline_of("r1", LINES)
+        assert [found.origin for found in timeline] == ["host-2", "host-1"]
+        assert timeline[1].fields == {"id": "r1", "reason": "stages: late"}
 
     def test_the_command_reads_files(self, tmp_path, capsys):
         file = tmp_path / "log"
--- a/packages/ctl/tests/test_hosts.py
+++ b/packages/ctl/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""``eelgrassctl hosts`` before nodes and a store of the users' platform."""
+"""``eelgrassctl hosts`` with nodes and a stand-in for the platform's store."""
 
 import pytest
 import pytest_asyncio
@@ -31,7 +31,7 @@
 
 
 class TestReading:
-    async def test_what_nodes_tell_of_themselves(self, entry):
+    async def test_metrics_of_a_node(self, entry):
         node = entry.nodes[0]
         node.counters.count("refusal.no-route")
         node.counters.count("retry.connect_failed")
@@ -42,25 +42,25 @@
         assert (found.servers_usable, found.servers) == (8, 8)
         assert (found.refusals, found.retries) == (1, 1)
 
-    async def test_a_node_that_is_gone_is_shown_as_silent(self):
+    async def test_a_node_that_does_not_answer_is_silent(self):
         [address] = free_addresses(1)
         [found] = await read_hosts([address])
         assert found.silent is not None
 
-    async def test_the_store(self, entry):
+    async def test_state_of_the_store(self, entry):
         entry.store.put("op", "config", configuration(4))
         assert await read_store(entry.store_address) == StoreState(4, 8)
 
-    async def test_a_data_centre_that_is_emptied(self, entry):
+    async def test_an_evacuated_data_centre(self, entry):
         entry.store.put("op", "evacuate/b", {})
         node = entry.nodes[0]
         await until(lambda: node.evacuation.evacuations.is_evacuated("b"))
         [found] = await read_hosts([await serve_metrics(node)])
-        [emptied] = found.evacuated
-        assert (emptied.data_centre, emptied.in_flight) == ("b", 0)
+        [evacuated] = found.evacuated
+        assert (evacuated.data_centre, evacuated.in_flight) == ("b", 0)
         assert (await read_store(entry.store_address)).evacuated == ("b",)
 
-    async def test_a_store_that_is_gone_is_said_with_a_remedy(self):
+    async def test_the_error_for_an_unreachable_store_gives_a_remedy(self):
         [address] = free_addresses(1)
         with pytest.raises(StoreUnreadable, match="leave --store out"):
             await read_store(address)
@@ -81,20 +81,20 @@
     async def found_store(self, address):
         return self.store
 
-    def test_all_agree(self, capsys):
+    def test_nodes_that_agree_with_the_store(self, capsys):
         assert hosts_command("a:1", "b:1", store="s:1") == ExitCode.DONE
         assert "Store: version 3, 8 servers listed." in capsys.readouterr().out
 
-    def test_a_node_behind_the_store_is_told_by_the_exit_code(self):
+    def test_a_node_behind_the_store_sets_the_exit_code(self):
         self.store = StoreState(4, 8)
         assert hosts_command("a:1", store="s:1") == ExitCode.NOT_EVERYWHERE
 
-    def test_a_silent_node_is_told_too(self, capsys):
+    def test_a_silent_node_sets_the_exit_code_and_is_listed(self, capsys):
         self.hosts.append(HostMetrics("c:1", "TimeoutError()"))
         assert hosts_command("a:1") == ExitCode.NOT_EVERYWHERE
         assert "c:1" in capsys.readouterr().out
 
-    def test_hundreds_that_agree_are_one_line(self, capsys):
+    def test_hundreds_of_equal_nodes_share_one_row(self, capsys):
         self.hosts = [
             HostMetrics(f"10.1.0.{n}:1", version=3, members=194, store_reachable=True)
             for n in range(195)
@@ -102,12 +102,12 @@
         assert hosts_command("a:1", store="s:1") == ExitCode.DONE
         assert len(capsys.readouterr().out.splitlines()) == 3
 
-    def test_each_of_hundreds_can_have_a_line(self, capsys):
+    def test_each_prints_a_row_for_every_node(self, capsys):
         self.hosts = [HostMetrics(f"10.1.0.{n}:1", version=3) for n in range(195)]
         assert hosts_command("a:1", each=True) == ExitCode.DONE
         assert "10.1.0.194:1" in capsys.readouterr().out
 
-    def test_those_that_need_a_look_are_named_with_the_reason(self, capsys):
+    def test_nodes_that_need_attention_are_listed_with_reasons(self, capsys):
         self.hosts = [
             HostMetrics(f"10.1.0.{n}:1", version=3, members=29, store_reachable=True)
             for n in range(30)
@@ -115,14 +115,16 @@
         self.hosts.append(HostMetrics("10.2.0.1:1", version=2, members=29))
         assert hosts_command("a:1", store="s:1") == ExitCode.NOT_EVERYWHERE
         shown = capsys.readouterr().out
-        assert "10.2.0.1:1: version 2 in place of 3; the store is lost." in shown
+        assert (
+            "10.2.0.1:1: version 2 in place of 3; it cannot reach the store." in shown
+        )
 
-    # Guards against an evacuation that some nodes have missed, unseen.
-    def test_an_evacuation_is_told_with_where_it_is_in_force(self, capsys):
-        emptied = (EvacuatedDataCentre("north", 12.0, 3),)
+    # Guards against hiding that some nodes have missed an evacuation.
+    def test_an_evacuation_shows_at_how_many_nodes_it_is_in_force(self, capsys):
+        evacuated = (EvacuatedDataCentre("north", 12.0, 3),)
         self.hosts = [
             HostMetrics(
-                f"10.1.0.{n}:1", version=3, store_reachable=True, evacuated=emptied
+                f"10.1.0.{n}:1", version=3, store_reachable=True, evacuated=evacuated
             )
             for n in range(3)
         ]
@@ -133,9 +135,11 @@
         shown = capsys.readouterr().out
         assert "north at 3 of 4 nodes, for 12 s; 9 requests still run there" in shown
         assert "south at 0 of 4 nodes" in shown
-        assert "Look at 10.1.0.9:1: empties no data centre, most empty north" in shown
+        assert (
+            "Look at 10.1.0.9:1: evacuates no data centre, most evacuate north" in shown
+        )
 
-    def test_a_pattern_leaves_the_others_out(self, capsys):
+    def test_match_filters_by_address(self, capsys):
         self.hosts = [
             HostMetrics("10.1.0.1:1", version=3),
             HostMetrics("10.2.0.1:1", version=2),
@@ -143,7 +147,7 @@
         assert hosts_command("a:1", match="10.1.*") == ExitCode.DONE
         assert "10.2.0.1" not in capsys.readouterr().out
 
-    def test_addresses_come_from_a_file_too(self, tmp_path, monkeypatch):
+    def test_addresses_are_also_read_from_a_file(self, tmp_path, monkeypatch):
         asked = []
 
         async def read(addresses):
@@ -156,22 +160,22 @@
         assert hosts_command("a:1", file=str(file)) == ExitCode.DONE
         assert asked == ["a:1", "b:1", "c:1"]
 
-    def test_a_file_that_cannot_be_read_is_said_with_a_remedy(self, tmp_path):
+    def test_the_error_for_an_unreadable_file_gives_a_remedy(self, tmp_path):
         with pytest.raises(AddressesUnreadable, match="one IP address"):
             hosts_command(file=str(tmp_path / "none"))
 
-    def test_json_for_scripts(self, capsys):
+    def test_json_output(self, capsys):
         assert hosts_command("a:1", json=True) == ExitCode.DONE
         assert '"version": 3' in capsys.readouterr().out
 
 
 class TestReview:
     def host(self, address, **fields):
-        """Return a node that needs no look."""
-        usual = {"version": 3, "members": 4, "store_reachable": True, "servers": 8}
-        return HostMetrics(address, **(usual | fields))
+        """Return a node that needs no attention unless ``fields`` say so."""
+        healthy = {"version": 3, "members": 4, "store_reachable": True, "servers": 8}
+        return HostMetrics(address, **(healthy | fields))
 
-    def test_silent_ones_come_first_and_then_those_with_most_reasons(self):
+    def test_silent_nodes_come_first_then_those_with_most_reasons(self):
         found = review(
             [
                 self.host("a:1"),
@@ -190,13 +194,13 @@
             "e:1",
         ]
 
-    def test_without_the_store_a_node_stands_out_from_most(self):
+    def test_without_the_store_nodes_are_compared_with_the_majority(self):
         hosts = [self.host(f"{n}:1") for n in "abc"]
         [first, *others] = review([*hosts, self.host("d:1", version=2)], None)
         assert first.reasons == ("version 2 in place of 3",)
         assert not any(reviewed.reasons for reviewed in others)
 
-    def test_groups_add_up_what_waits_and_what_was_refused(self):
+    def test_groups_sum_up_waiting_items_and_refusals(self):
         hosts = [self.host(f"{n}:1", pieces_waiting=2, refusals=5) for n in "abc"]
         [group] = group_hosts(review(hosts, 3))
         assert (group.hosts, group.pieces_waiting, group.refusals) == (3, 6, 15)
