--- a/packages/ctl/src/eelgrass_ctl/commands/claims.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/claims.py
@@ -1,8 +1,8 @@
-"""``eelgrassctl claims``: keyed requests that have no end yet."""
+"""``eelgrassctl claims``: list keyed requests without a final outcome."""
 
 from ..client import call, target_of
 from ..exceptions import ExitCode
-from ..output import print_list, shown_time
+from ..output import format_time, print_list
 
 __all__ = ["claims"]
 
@@ -14,7 +14,7 @@
     node: list[str] = [],  # noqa: B006
     json: bool = False,
 ) -> int:
-    """List keyed requests that run or whose outcome is unknown.
+    """List keyed requests that are running or whose outcome is unknown.
 
     :param node: internal address of a node, several to try in turn
     :param json: print JSON for scripts
@@ -31,6 +31,6 @@
         claim["key"],
         claim["state"],
         claim["owner"],
-        shown_time(claim["deadline_at"]),
+        format_time(claim["deadline_at"]),
         claim["note"],
     )
--- a/packages/ctl/src/eelgrass_ctl/commands/crashes.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/crashes.py
@@ -1,10 +1,10 @@
-"""``eelgrassctl crashes``: requests under which servers have ended."""
+"""``eelgrassctl crashes``: list or clear requests that servers crashed under."""
 
 import asyncio
 
-from ..crash_rows import RequestEnds, clear_request, read_ends
+from ..crash_rows import RequestCrashes, clear_request, read_crashes
 from ..exceptions import ExitCode
-from ..output import print_list, shown_time
+from ..output import format_time, print_list
 
 __all__ = ["crashes"]
 
@@ -13,28 +13,28 @@
 
 
 def crashes(store: str, *, clear: str = "", json: bool = False) -> int:
-    """Show the requests under which servers have ended, those with most ends first.
+    """List requests under which servers crashed, those with most crashes first.
 
-    A held request is sent to no server until an hour after the last end. Clear it where
-    the servers can run it by now: nodes let it in again at once.
+    Nodes send a held request to no server until an hour after its last crash. If
+    servers can run it by now, clear it: nodes then accept it again at once.
 
     :param store: the address of the platform's store
-    :param clear: forget all ends under the request with this fingerprint
+    :param clear: remove all crashes of the request with this fingerprint
     :param json: print JSON for scripts
     """
     if clear:
         cleared = asyncio.run(clear_request(store, clear))
-        print(f"{cleared} ends under request {clear} are forgotten.")
+        print(f"Removed {cleared} crashes of request {clear}.")
         return ExitCode.DONE
-    print_list(asyncio.run(read_ends(store)), HEAD, _row, json)
+    print_list(asyncio.run(read_crashes(store)), HEAD, _row, json)
     return ExitCode.DONE
 
 
-def _row(ends: RequestEnds) -> tuple:
+def _row(found: RequestCrashes) -> tuple:
     return (
-        ends.request,
-        len(ends.servers),
-        "yes" if ends.is_held else "no",
-        shown_time(ends.last_ms / MS_PER_S),
-        " ".join(ends.servers),
+        found.request,
+        len(found.servers),
+        "yes" if found.is_quarantined else "no",
+        format_time(found.last_ms / MS_PER_S),
+        " ".join(found.servers),
     )
--- a/packages/ctl/src/eelgrass_ctl/commands/history.py
+++ b/packages/ctl/src/eelgrass_ctl/commands/history.py
@@ -1,8 +1,8 @@
-"""``eelgrassctl history``: the latest changes."""
+"""``eelgrassctl history``: list the latest changes."""
 
 from ..client import call, target_of
 from ..exceptions import ExitCode
-from ..output import print_list, shown_time
+from ..output import format_time, print_list
 
 __all__ = ["history"]
 
@@ -27,12 +27,12 @@
 def _row(change: dict) -> tuple:
     return (
         change["revision"],
-        shown_time(change["at"]),
+        format_time(change["at"]),
         change["author"],
         change["change_id"],
-        ", ".join(map(_described, change["items"])),
+        ", ".join(map(_describe, change["items"])),
     )
 
 
-def _described(item: dict) -> str:
+def _describe(item: dict) -> str:
     return f"{item['action']} {item['kind']}/{item['name']}"
--- a/packages/node/src/eelgrass_node/process/table_relay.py
+++ b/packages/node/src/eelgrass_node/process/table_relay.py
@@ -78,7 +78,7 @@
 class StoreReader(TableReader, Protocol):
     """The store, as :class:`RelayedReader` uses it."""
 
-    def arriving_since(self, table: str) -> float | None:
+    def response_started_at(self, table: str) -> float | None:
         """Return when the answer being received began; None if there is none."""
 
 
@@ -119,7 +119,7 @@
 
     def reads_from_store(self, table: str) -> bool:
         """Return whether this node reads the table from the store, not from a relay."""
-        since = self._store.arriving_since(table)
+        since = self._store.response_started_at(table)
         if since is not None and self._clock() - since <= MAX_RECEIVE_S:
             # Otherwise every follower would read the same rows from the store.
             return True
--- a/tests/support/store_simulation.py
+++ b/tests/support/store_simulation.py
@@ -141,7 +141,7 @@
         """Return changed rows."""
         return await self._store.feed(self._node, table, after, wait_s)
 
-    def arriving_since(self, table: str) -> None:
+    def response_started_at(self, table: str) -> None:
         """Return None: no answer here is large enough to take long."""
 
 
--- a/tests/support/version_simulation.py
+++ b/tests/support/version_simulation.py
@@ -120,7 +120,7 @@
             lambda: self.simulation.store.feed(self.own.id, table, after, wait_s)
         )
 
-    def arriving_since(self, table: str) -> None:
+    def response_started_at(self, table: str) -> None:
         """Return None: no answer here is large enough to take long."""
 
     async def _while_running(self, call: Callable[[], Awaitable[T]]) -> T:
