--- a/benchmarks/piece_queue.py
+++ b/benchmarks/piece_queue.py
@@ -13,7 +13,7 @@
 import time
 
 from eelgrass_coordination.ids import BackendId, DataCentre
-from eelgrass_node.connection.listening import listening_at
+from eelgrass_node.connection.listen_probe import probe_listening
 from eelgrass_node.process.backends import Backends, HostEntry
 from eelgrass_node.process.batch_items import BatchItem, ItemOutcome
 from eelgrass_node.process.local_queues import LocalQueues
@@ -122,7 +122,7 @@
         lambda name, waited_s: None,
         PoisonRequests(
             backends,
-            listening_at,
+            probe_listening,
             lambda marks: None,
             loop.time,
             lambda: 0,
--- a/packages/ctl/tests/test_crashes.py
+++ b/packages/ctl/tests/test_crashes.py
@@ -20,7 +20,7 @@
 def end_under(node, request, *servers):
     for server in servers:
         life = ServerIncarnation(BackendId(server))
-        node.poison._on_crash(life, [request])
+        node.poison_requests._on_crash(life, [request])
 
 
 @pytest.fixture
@@ -43,12 +43,20 @@
         ]
 
     async def test_a_request_that_is_cleared_is_let_in_at_all_nodes(self, entry):
-        assert all(node.poison.quarantine.is_quarantined(HELD) for node in entry.nodes)
+        assert all(
+            node.poison_requests.quarantine.is_quarantined(HELD) for node in entry.nodes
+        )
         assert await clear_request(entry.store_address, HELD) == 3
         await until(
-            lambda: not any(n.poison.quarantine.is_suspect(HELD) for n in entry.nodes)
+            lambda: (
+                not any(
+                    n.poison_requests.quarantine.is_suspect(HELD) for n in entry.nodes
+                )
+            )
+        )
+        assert all(
+            node.poison_requests.quarantine.is_suspect(SUSPECT) for node in entry.nodes
         )
-        assert all(node.poison.quarantine.is_suspect(SUSPECT) for node in entry.nodes)
         assert await clear_request(entry.store_address, HELD) == 0
 
     async def test_a_store_that_is_gone_is_said_with_a_remedy(self):
--- a/packages/node/src/eelgrass_node/connection/backend.py
+++ b/packages/node/src/eelgrass_node/connection/backend.py
@@ -91,17 +91,17 @@
             self._retire(self._session)
             self._session = None
 
-    def enter(self) -> None:
+    def begin_call(self) -> None:
         """Note the start of a call."""
         self._in_use += 1
 
-    def leave(self) -> None:
+    def end_call(self) -> None:
         """Note the end of a call."""
         self._in_use -= 1
         if self._in_use == 0:
             self._close_retired()
 
-    def retire(self) -> None:
+    def close_when_idle(self) -> None:
         """Close once the last call has ended."""
         self._closing = True
         if self._in_use == 0:
--- a/packages/node/src/eelgrass_node/connection/batch_calls.py
+++ b/packages/node/src/eelgrass_node/connection/batch_calls.py
@@ -95,7 +95,7 @@
         headers = self._codec.call_headers(backend.entry.id)
         headers["Content-Type"] = "application/json"
         connections = backend.connections
-        connections.enter()
+        connections.begin_call()
         try:
             async with connections.request(
                 "POST", path, headers, body, CONNECT_S, reuse=True
@@ -103,7 +103,7 @@
                 connections.track(response)
                 return response.status, await response.read()
         finally:
-            connections.leave()
+            connections.end_call()
 
 
 def _all(items: list[BatchItem], failure: ItemFailure) -> list[ItemOutcome]:
--- a/packages/node/src/eelgrass_node/connection/callers.py
+++ b/packages/node/src/eelgrass_node/connection/callers.py
@@ -18,7 +18,6 @@
 from ..request.pipeline import run_pipeline
 from ..request.reasons import Outcome, RefusalReason
 from ..request.stages import StageEnvironment
-from .intake import KEY_HEADER, read_request
 from .replies import (
     Answer,
     AnswerStream,
@@ -27,6 +26,7 @@
     problem_of,
     problem_response,
 )
+from .request_parsing import KEY_HEADER, read_request
 
 __all__ = ["CallersInterface", "build_callers"]
 
--- a/packages/node/src/eelgrass_node/connection/listening.py
+++ b/packages/node/src/eelgrass_node/connection/listen_probe.py
@@ -7,14 +7,14 @@
 
 from ..process.crash_detector import Listening
 
-__all__ = ["listening_at"]
+__all__ = ["probe_listening"]
 
 # The first packet of a connection is sent again after a second where it was lost;
 # asking anew is sooner.
 CONNECT_S = 0.3
 
 
-async def listening_at(address: str) -> Listening:
+async def probe_listening(address: str) -> Listening:
     """Return whether connections to an IP address and port are accepted."""
     host, _, port = address.rpartition(":")
     try:
--- a/packages/node/src/eelgrass_node/entry_gauges.py
+++ b/packages/node/src/eelgrass_node/entry_gauges.py
@@ -27,7 +27,7 @@
     yield Gauge(
         "members", "Other nodes in reach.", len(node.membership.members.reachable())
     )
-    quarantine = node.poison.quarantine
+    quarantine = node.poison_requests.quarantine
     yield Gauge(
         "suspect_requests", "Requests under which a server ended.", len(quarantine)
     )
--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -13,8 +13,8 @@
 from .connection.batch_calls import BatchCalls
 from .connection.batch_handoff import HandoffClient, HandoffInterface
 from .connection.caller_server import CallerServer
+from .connection.listen_probe import probe_listening
 from .connection.listeners import Listeners
-from .connection.listening import listening_at
 from .connection.peer_calls import PeerCalls
 from .connection.peer_state import STATE_CALL, PeerState
 from .connection.sockets import new_session
@@ -102,14 +102,14 @@
             partial(servers.decode_server, settings.region_by_data_centre),
             lambda server_id: None,
         )
-        self.retries = RetryBudgets(
+        self.retry_budgets = RetryBudgets(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s, loop.time
         )
-        self.reach = DataCentreReachability(settings.data_centre, loop.time)
+        self.reachability = DataCentreReachability(settings.data_centre, loop.time)
         self.batch_calls = BatchCalls(stage_calls, self._server_replaced)
         self.peer_session = new_session(PEER_IDLE_S / 2)
         self.peer_calls = PeerCalls(self.peer_session)
-        self.catch_up = PeerCatchUp(
+        self.peer_catch_up = PeerCatchUp(
             self._take_state_of,
             lambda: self.deployments.number,
             lambda: self.tables.is_ready,
@@ -121,18 +121,18 @@
         )
         self.membership.on_change = self._members_changed
         self.membership.on_revision = self._revision_heard
-        self.checks = ReachabilityChecks(
+        self.reachability_checks = ReachabilityChecks(
             settings.data_centre,
-            self.reach,
+            self.reachability,
             lambda: list(self.membership.members.by_id.values()),
             self.membership.probe,
         )
-        self.failing = FailureGossip(
+        self.failure_gossip = FailureGossip(
             self.backends, self.membership.announce_gossip_item, unix_ms
         )
-        self.poison = PoisonRequests(
+        self.poison_requests = PoisonRequests(
             self.backends,
-            listening_at,
+            probe_listening,
             self.membership.announce_gossip_items,
             loop.time,
             unix_ms,
@@ -160,19 +160,19 @@
         self.local_queues = LocalQueues(
             self.backends,
             lambda: self.deployments.current,
-            self.retries,
-            self.reach,
+            self.retry_budgets,
+            self.reachability,
             self.batch_calls.run,
             self.batch_calls.free,
             stage_calls.producer_of,
             self.metrics.record_wait,
-            self.poison,
+            self.poison_requests,
             self.warm_up.admission.is_bounded,
         )
         self.backends.on_change = self.local_queues.servers_changed
         self.membership.on_gossip_item = self._mark_heard
         self.membership.on_ack = self._ack_heard
-        self.reach.on_timeout = self.checks.check
+        self.reachability.on_timeout = self.reachability_checks.check
         self.table_feed = TableFeedClient(
             self.peer_calls, lambda table, key: self.tables.row(table, key)
         )
@@ -186,7 +186,7 @@
             self.membership.members.reachable,
             deployments=self.deployments,
             server_list=self.server_list,
-            crashes=self.poison.table,
+            crashes=self.poison_requests.table,
             evacuations=self.evacuation.evacuations,
             apply_s=bounds.apply_s,
             evacuate_s=bounds.evacuate_s,
@@ -196,16 +196,16 @@
         self.queue_loads = QueueLoads(loop.time)
         self.final_call_latency = FinalCallLatency()
         self.handoff = HandoffClient(self.queue_loads.receive)
-        self.owners = QueueOwners(
+        self.queue_owners = QueueOwners(
             settings.node,
             settings.data_centre,
             settings.capacity(),
             self.membership.members.reachable,
-            self.reach,
+            self.reachability,
             loop.time,
         )
         self.shared_queues = SharedQueues(
-            self.owners,
+            self.queue_owners,
             self.local_queues,
             self.handoff,
             self.queue_loads.receive,
@@ -213,10 +213,10 @@
             self.membership.probe,
             self.counters.count,
         )
-        self.choice = ServerChoice(
+        self.server_choice = ServerChoice(
             self.backends,
             settings.data_centre,
-            self.reach,
+            self.reachability,
             lambda: self.deployments.current,
         )
         self._tasks: list[asyncio.Task] = []
@@ -240,8 +240,8 @@
             self.tables.operator.run,
             self.tables.servers.run,
             self.tables.crashes.run,
-            self.poison.table.run,
-            self.catch_up.start,
+            self.poison_requests.table.run,
+            self.peer_catch_up.start,
         ):
             self._tasks.append(asyncio.create_task(keep_running(work)))
         log(Part.NODE, "Started.", node=self.settings.node)
@@ -255,7 +255,7 @@
         await self.stopping.wait_requested()
         log(Part.NODE, "Stopping.", in_flight=self.stopping.count)
         # Others own the queues from now on; what waits here is still served.
-        self.owners.leave()
+        self.queue_owners.leave()
         await self.membership.leave()
         clean = await self.stopping.finish()
         log(Part.NODE, "Stopped.", clean=clean, in_flight=self.stopping.count)
@@ -266,9 +266,9 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        self.checks.stop()
+        self.reachability_checks.stop()
         self.shared_queues.checks.stop()
-        self.poison.crash_detector.stop()
+        self.poison_requests.crash_detector.stop()
         await self.membership.stop()
         await self._listeners.close()
         await self.backends.close()
@@ -304,16 +304,16 @@
 
     async def _listen_callers(self) -> None:
         planner = StagePlanner(
-            self.choice.choose,
+            self.server_choice.choose,
             lambda: self.deployments.current,
             self.queue_loads,
             self.final_call_latency,
         )
         parts = ServingContext(
             codec=requests,
-            choose=self.choice.choose,
+            choose=self.server_choice.choose,
             admit=self.warm_up.admission.admit,
-            copy_source=self.choice.copy_source,
+            copy_source=self.server_choice.copy_source,
             data_centre_of=self.local_queues.data_centre_of,
             has_ended=self.backends.has_ended,
             plan=planner.plan,
@@ -321,11 +321,11 @@
             run_items=self.shared_queues.run,
             free_results=self.shared_queues.results.free,
             final_call_latency=self.final_call_latency,
-            retries=self.retries,
-            reach=self.reach,
+            retries=self.retry_budgets,
+            reach=self.reachability,
             on_server_replaced=self._server_replaced,
-            on_server_failing=self.failing.announce_failure,
-            poison=self.poison,
+            on_server_failing=self.failure_gossip.announce_failure,
+            poison=self.poison_requests,
             count=self.counters.count,
             metrics=self.metrics,
         )
@@ -374,23 +374,23 @@
         members = list(self.membership.members.by_id.values())
         for member in members:
             if member.state is MemberState.SUSPECT:
-                self.reach.record_timeout(member.data_centre, member.id)
-        self.retries.sharing_nodes = count_sharing_nodes(
+                self.reachability.record_timeout(member.data_centre, member.id)
+        self.retry_budgets.sharing_nodes = count_sharing_nodes(
             self.settings, self.membership.own, members
         )
         self.backends.set_live_nodes(len(self.membership.members.reachable()) + 1)
 
     def _revision_heard(self, revision: Revision, member: Member, age_s: float) -> None:
         self.deployments.on_number_announced(revision)
-        self.catch_up.on_number_announced(revision, member, age_s)
+        self.peer_catch_up.on_number_announced(revision, member, age_s)
 
     def _mark_heard(self, mark: GossipItem) -> None:
-        self.failing.receive(mark)
-        self.poison.gossip.receive(mark)
+        self.failure_gossip.receive(mark)
+        self.poison_requests.gossip.receive(mark)
         self.evacuation.gossip.receive(mark)
 
     def _ack_heard(self, member: Member) -> None:
-        self.checks.record_ack(member)
+        self.reachability_checks.record_ack(member)
         self.shared_queues.checks.on_ack(member)
 
     def _advanced(self, number: int) -> None:
--- a/packages/node/src/eelgrass_node/exceptions.py
+++ b/packages/node/src/eelgrass_node/exceptions.py
@@ -45,11 +45,11 @@
 class PeerUnreachable(NodeError):
     """Another node gave no valid answer in time.
 
-    ``silent`` says that it did not answer at all.
+    ``timed_out`` says that it did not answer at all.
     """
 
-    def __init__(self, address: str, reason: str, silent: bool = False) -> None:
-        self.silent = silent
+    def __init__(self, address: str, reason: str, timed_out: bool = False) -> None:
+        self.timed_out = timed_out
         super().__init__(
             f"The node at {address} gave no valid answer ({reason}). Ask another "
             "node, or ask it again later."
--- a/packages/node/src/eelgrass_node/process/backends.py
+++ b/packages/node/src/eelgrass_node/process/backends.py
@@ -339,7 +339,7 @@
 
     def _remove(self, backend_id: BackendId) -> None:
         # Calls in flight keep the object, and its connections, until they end.
-        self.by_id.pop(backend_id).connections.retire()
+        self.by_id.pop(backend_id).connections.close_when_idle()
 
     def _rebuild(self) -> None:
         by_service: dict[str, list[Backend]] = {}
--- a/packages/node/src/eelgrass_node/process/shared_queues.py
+++ b/packages/node/src/eelgrass_node/process/shared_queues.py
@@ -83,7 +83,7 @@
     def _note_failure(
         self, owner: Member, service: ServiceName, error: PeerUnreachable
     ) -> None:
-        if error.silent:
+        if error.timed_out:
             self._note_silent(owner)
         else:
             self._owners.on_failure(owner)
--- a/packages/node/src/eelgrass_node/request/attempt.py
+++ b/packages/node/src/eelgrass_node/request/attempt.py
@@ -118,7 +118,7 @@
 ) -> AttemptResult:
     """Post a call and convert every kind of failure to a result."""
     connections = attempt.backend.connections
-    connections.enter()
+    connections.begin_call()
     try:
         context = connections.post(
             path,
@@ -138,7 +138,7 @@
     except (aiohttp.ClientError, OSError, msgspec.MsgspecError, ValueError) as error:
         return unknown_result(_failure_reason(error))
     finally:
-        connections.leave()
+        connections.end_call()
 
 
 async def _await_response(
--- a/packages/node/src/eelgrass_node/request/engine_call.py
+++ b/packages/node/src/eelgrass_node/request/engine_call.py
@@ -64,7 +64,7 @@
         self._response: aiohttp.ClientResponse | None = None
         # Keeps the server's connections open until close(), even if the server is
         # removed from the list of servers meanwhile.
-        backend.connections.enter()
+        backend.connections.begin_call()
         self._closed: asyncio.Future | None = None
 
     async def open(self, last_event_id: str | None = None) -> ResponseHead:
@@ -124,7 +124,7 @@
             self._closed.exception()
         if self._response is not None:
             self._response.close()
-        self._backend.connections.leave()
+        self._backend.connections.end_call()
 
     async def _send(self, last_event_id: str | None) -> aiohttp.ClientResponse:
         routed = self._routed
--- a/packages/node/src/eelgrass_node/request/generation.py
+++ b/packages/node/src/eelgrass_node/request/generation.py
@@ -178,7 +178,7 @@
     """Cancel an attempt; return None if the server does not answer in time."""
     body = msgspec.json.encode({"attempt_id": attempt.attempt_id})
     connections = attempt.backend.connections
-    connections.enter()
+    connections.begin_call()
     try:
         async with StallAwareTimeout(within_s):
             context = connections.post(
@@ -190,7 +190,7 @@
     except (aiohttp.ClientError, OSError, msgspec.MsgspecError):
         return None
     finally:
-        connections.leave()
+        connections.end_call()
 
 
 def _final_result(line: _Line, accepted: int, text: str, chunks: int) -> AttemptResult:
--- a/packages/node/tests/test_crash_detector.py
+++ b/packages/node/tests/test_crash_detector.py
@@ -6,7 +6,7 @@
 import pytest
 
 from eelgrass_coordination.ids import BackendId, DataCentre
-from eelgrass_node.connection.listening import listening_at
+from eelgrass_node.connection.listen_probe import probe_listening
 from eelgrass_node.process import crash_detector as crash_detector_module
 from eelgrass_node.process.backends import Backends, BackendState, HostEntry
 from eelgrass_node.process.crash_detector import CrashDetector, Fingerprint, Listening
@@ -95,9 +95,9 @@
     async def test_a_listener_a_closed_port_and_one_that_hangs(self):
         listener = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
         port = listener.sockets[0].getsockname()[1]
-        assert await listening_at(f"127.0.0.1:{port}") is Listening.YES
+        assert await probe_listening(f"127.0.0.1:{port}") is Listening.YES
         listener.close()
         await listener.wait_closed()
-        assert await listening_at(f"127.0.0.1:{port}") is Listening.NO
+        assert await probe_listening(f"127.0.0.1:{port}") is Listening.NO
         with hanging_listener() as address:
-            assert await listening_at(address) is Listening.UNKNOWN
+            assert await probe_listening(address) is Listening.UNKNOWN
--- a/packages/node/tests/test_result_release.py
+++ b/packages/node/tests/test_result_release.py
@@ -29,7 +29,7 @@
             raise PeerUnreachable(address, "refused")
         if self._answers_after_s > within_s:
             await asyncio.sleep(within_s)
-            raise PeerUnreachable(address, "silent", silent=True)
+            raise PeerUnreachable(address, "silent", timed_out=True)
         await asyncio.sleep(self._answers_after_s)
         self.freed.append(handles)
 
--- a/tests/support/entry.py
+++ b/tests/support/entry.py
@@ -250,8 +250,8 @@
 
 def let_budgets_fill(node: EntryNode) -> None:
     """Have a node reckon that it has been up for a while, as far as it may repeat."""
-    clock = node.retries._clock
-    node.retries._clock = lambda: clock() + node.settings.bounds.retry_window_s
+    clock = node.retry_budgets._clock
+    node.retry_budgets._clock = lambda: clock() + node.settings.bounds.retry_window_s
 
 
 @contextmanager
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -28,7 +28,7 @@
 # list may only shrink.
 EXCEPTIONS = {
     "connection/callers.py",
-    "connection/intake.py",
+    "connection/request_parsing.py",
     "connection/replies.py",
     "process/backends.py",
     "process/changes.py",
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -75,7 +75,7 @@
         self, poisoned
     ):
         for node in poisoned.nodes:
-            node.poison.gossip._announce = lambda marks: None
+            node.poison_requests.gossip._announce = lambda marks: None
             node.membership.members.reachable = lambda: []
         await poisoned.attempts(8)
         assert 0 < len(poisoned.ended) <= MOST_ENDED
@@ -118,7 +118,7 @@
         self, poisoned
     ):
         """Other copies of it end the third server while it is on its way."""
-        quarantine = poisoned.nodes[0].poison.quarantine
+        quarantine = poisoned.nodes[0].poison_requests.quarantine
         quarantine.record_crash(
             Fingerprint("another"), ServerIncarnation(BackendId("ended"))
         )
@@ -174,4 +174,4 @@
             assert len(deployment.ended) <= MOST_ENDED + self.COPIES - 1
             assert not any(held)
             for node in deployment.nodes:
-                assert node.poison.quarantine.quarantined_count() == 1
+                assert node.poison_requests.quarantine.quarantined_count() == 1
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -32,7 +32,7 @@
     async def test_each_piece_of_a_stage_counts_as_a_request(self, entry):
         counts_by_service = Counter()
         for node in entry.nodes:
-            node.retries.record_requests = lambda service, count=1: (
+            node.retry_budgets.record_requests = lambda service, count=1: (
                 counts_by_service.update({service: count})
             )
         segments = {"Eelgrassward_Segments": "2,1,5", "Eelgrassward_Segment_Key": "k"}
--- a/tests/test_users_platform.py
+++ b/tests/test_users_platform.py
@@ -350,7 +350,7 @@
         ]
         await until(lambda: len(self.items(entry, "portal")) == 18)
         owner = entry.nodes[at_owner].membership.own
-        entry.nodes[elsewhere].owners.on_failure(owner)
+        entry.nodes[elsewhere].queue_owners.on_failure(owner)
         answers = await asyncio.gather(*asks)
         asks = [
             entry.ask("/stream/staged/x", node=at_owner, **SEGMENTS) for _ in range(4)
@@ -361,7 +361,7 @@
     @staticmethod
     def owner_and_other(entry, service):
         """Return the numbers of the node that owns a queue and of the other one."""
-        owner = entry.nodes[0].owners.candidates(service)[0]
+        owner = entry.nodes[0].queue_owners.candidates(service)[0]
         return (0, 1) if owner is None else (1, 0)
 
     @staticmethod
