--- a/packages/node/src/eelgrass_node/connection/__init__.py
+++ b/packages/node/src/eelgrass_node/connection/__init__.py
@@ -1,1 +1,4 @@
-"""What lives as long as one connection, or the connections to one place."""
+"""The connection layer: HTTP servers and clients for callers, nodes and backends.
+
+Its objects live as long as one connection, or all connections to one address.
+"""
--- a/packages/node/src/eelgrass_node/connection/backend.py
+++ b/packages/node/src/eelgrass_node/connection/backend.py
@@ -1,8 +1,8 @@
-"""The connections to one backend server.
+"""The HTTP connections to one backend server.
 
-Calls go out without redirects, since a followed 307 would send a call a second
-time. A call that may not be repeated gets a connection of its own, so that it
-cannot meet a kept-alive one that the other side has just closed.
+Redirects are not followed, because following a 307 would send the call a second time.
+A call that must not be repeated gets a new connection: on a kept-alive one it could
+fail because the server has just closed that connection.
 """
 
 import asyncio
@@ -19,21 +19,21 @@
 
 CONNECT_S = 1.0
 KEEP_ALIVE_S = 15.0
-MAX_LINE = 1 << 20
-SESSION_OPTIONS = {"auto_decompress": False, "read_bufsize": MAX_LINE}
-# What the client library would add to a request that must go out unchanged.
-LIBRARY_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+READ_BUFFER_BYTES = 1 << 20
+SESSION_OPTIONS = {"auto_decompress": False, "read_bufsize": READ_BUFFER_BYTES}
+# Headers that the client library would add to a request that is forwarded unchanged.
+AUTOMATIC_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class BackendConnections:
-    """Kept-alive connections to ``address``, an IP address and port."""
+    """Opens and keeps connections to ``address``, an IP address and port."""
 
     def __init__(self, address: str) -> None:
         self.address = address
         self._session: aiohttp.ClientSession | None = None
-        self._single_use: aiohttp.ClientSession | None = None
+        self._single_use_session: aiohttp.ClientSession | None = None
         self._retired: list[aiohttp.ClientSession] = []
-        self._in_use = 0
+        self._calls_in_flight = 0
         self._closing = False
         self._responses: weakref.WeakSet[aiohttp.ClientResponse] = weakref.WeakSet()
         self.aborted = False
@@ -41,8 +41,12 @@
     def post(
         self, path: str, body: bytes, attempt_id: str, connect_s: float, reuse: bool
     ) -> "aiohttp.client._RequestContextManager":
-        """Begin a POST; ``connect_s`` bounds the time to connect, in seconds."""
-        session = self._reusing() if reuse else self._fresh()
+        """Begin a POST.
+
+        Connecting may take up to ``connect_s`` seconds, but no more than ``CONNECT_S``.
+        Without ``reuse`` the call gets a connection of its own.
+        """
+        session = self._get_session() if reuse else self._get_single_use_session()
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=min(connect_s, CONNECT_S)
         )
@@ -64,113 +68,113 @@
         reuse: bool,
         on_sent: Callable[[], None] | None = None,
     ) -> "aiohttp.client._RequestContextManager":
-        """Begin a call whose target, headers and body go out unchanged.
+        """Begin a call whose target, headers and body are sent unchanged.
 
-        ``on_sent`` is told when there is a connection and the request goes out.
+        ``on_sent`` is called once a connection is open and the headers are sent.
         """
-        session = self._reusing() if reuse else self._fresh()
+        session = self._get_session() if reuse else self._get_single_use_session()
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=connect_s)
         return session.request(
             method,
             URL(f"http://{self.address}{target}", encoded=True),
             data=body or None,
             headers=headers,
-            skip_auto_headers=LIBRARY_HEADERS,
+            skip_auto_headers=AUTOMATIC_HEADERS,
             timeout=timeout,
             allow_redirects=False,
             trace_request_ctx=on_sent,
         )
 
     def replace(self) -> None:
-        """Use new connections from now on; those in use go on to their end.
+        """Open new connections from now on; calls in flight keep theirs.
 
-        Called when one connection went silent: its idle neighbours may have
-        been forgotten by whatever lies between in the same way.
+        Called after a connection has gone silent. A firewall or NAT on the path that
+        dropped its state may have dropped that of the idle connections as well.
         """
         if self._session is not None:
             self._retire(self._session)
             self._session = None
 
     def begin_call(self) -> None:
-        """Note the start of a call."""
-        self._in_use += 1
+        """Count a call that starts; its connections stay open until it ends."""
+        self._calls_in_flight += 1
 
     def end_call(self) -> None:
-        """Note the end of a call."""
-        self._in_use -= 1
-        if self._in_use == 0:
+        """Count a call that has ended, and close retired sessions after the last."""
+        self._calls_in_flight -= 1
+        if self._calls_in_flight == 0:
             self._close_retired()
 
     def close_when_idle(self) -> None:
-        """Close once the last call has ended."""
+        """Close all connections once the last call in flight has ended."""
         self._closing = True
-        if self._in_use == 0:
+        if self._calls_in_flight == 0:
             self._close_retired()
 
     def track(self, response: aiohttp.ClientResponse) -> None:
-        """Note an answer whose body is being read, for :meth:`abort`."""
+        """Register a response whose body is being read, so that it can be aborted."""
         self._responses.add(response)
 
     def abort(self) -> None:
-        """Break off all calls, because the server is known to have ended.
+        """Abort all calls, because the server is known to have terminated.
 
-        A body without a length then ends as if it were whole; ``aborted`` tells
-        its reader that it is not.
+        To its reader a body without a length then looks complete; ``aborted`` says
+        that it was truncated.
         """
         self.aborted = True
         self._closing = True
         for response in self._responses:
-            # Closing the session alone leaves readers of a body waiting.
+            # Closing the session alone would leave readers of a body waiting.
             if response.connection is not None and response.connection.transport:
                 response.connection.transport.abort()
         self._close_retired()
 
     async def close(self) -> None:
-        """Close everything now."""
-        sessions = [self._session, self._single_use, *self._retired]
-        self._session = self._single_use = None
+        """Close all connections immediately."""
+        sessions = [self._session, self._single_use_session, *self._retired]
+        self._session = self._single_use_session = None
         self._retired = []
         for session in sessions:
             if session is not None:
                 await session.close()
 
-    def _reusing(self) -> aiohttp.ClientSession:
+    def _get_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = new_session(
-                KEEP_ALIVE_S, trace_configs=[_tells_when_sent()], **SESSION_OPTIONS
+                KEEP_ALIVE_S, trace_configs=[_trace_sent_requests()], **SESSION_OPTIONS
             )
-            # The library would repeat a GET by itself on a dropped connection.
-            # Repeats are decided and counted in one place only, and it has no
-            # public option for this.
+            # On a dropped connection the library would repeat a GET by itself, but
+            # retries are decided and counted by the request layer alone. The library
+            # has no public option to disable this.
             self._session._retry_connection = False
         return self._session
 
-    def _fresh(self) -> aiohttp.ClientSession:
-        if self._single_use is None:
-            self._single_use = aiohttp.ClientSession(
+    def _get_single_use_session(self) -> aiohttp.ClientSession:
+        if self._single_use_session is None:
+            self._single_use_session = aiohttp.ClientSession(
                 connector=Connector(force_close=True),
                 cookie_jar=aiohttp.DummyCookieJar(),
-                trace_configs=[_tells_when_sent()],
+                trace_configs=[_trace_sent_requests()],
                 **SESSION_OPTIONS,
             )
-        return self._single_use
+        return self._single_use_session
 
     def _retire(self, session: aiohttp.ClientSession) -> None:
         self._retired.append(session)
-        if self._in_use == 0:
+        if self._calls_in_flight == 0:
             self._close_retired()
 
     def _close_retired(self) -> None:
         if self._closing:
-            self._retired += [s for s in (self._session, self._single_use) if s]
-            self._session = self._single_use = None
+            self._retired += [s for s in (self._session, self._single_use_session) if s]
+            self._session = self._single_use_session = None
         for session in self._retired:
-            _close_soon(session)
+            _close_in_background(session)
         self._retired = []
 
 
-def _tells_when_sent() -> aiohttp.TraceConfig:
-    """Return a trace that calls the ``on_sent`` of each request."""
+def _trace_sent_requests() -> aiohttp.TraceConfig:
+    """Return a trace configuration that calls each request's ``on_sent``."""
 
     async def sent(session, context, parameters) -> None:
         if context.trace_request_ctx is not None:
@@ -184,7 +188,7 @@
 _closing_tasks: set[asyncio.Task] = set()
 
 
-def _close_soon(session: aiohttp.ClientSession) -> None:
+def _close_in_background(session: aiohttp.ClientSession) -> None:
     task = asyncio.create_task(session.close())
     _closing_tasks.add(task)
     task.add_done_callback(_closing_tasks.discard)
--- a/packages/node/src/eelgrass_node/connection/caller_server.py
+++ b/packages/node/src/eelgrass_node/connection/caller_server.py
@@ -1,8 +1,8 @@
-"""The HTTP server towards callers, with bounds on what they may send and when.
+"""The HTTP server for callers, with bounds on request sizes and header times.
 
-The library bounds the time between two requests of a connection. What it leaves
-open is a caller that begins its first request and does not go on: such ones would
-hold descriptors, of which a host has four thousand.
+The library limits the idle time between two requests of a connection, but not the time
+that a caller takes for the header of its first request. Without a timeout for it,
+stalled callers would use up file descriptors, of which a host has four thousand.
 """
 
 import asyncio
@@ -13,81 +13,87 @@
 
 __all__ = ["CallerServer"]
 
-# Callers use connections that have been idle for long; one that is closed under
-# a request costs an answer, an idle one a little memory.
+# Callers reuse connections after long idle times. Closing one just as a request arrives
+# loses that request; keeping an idle one costs only a little memory.
 CALLER_IDLE_S = 75.0
-# Header lines and their sum that the parser takes, well over the operator's
-# limits of 16 KiB.
+# Longest header line and field that the parser accepts; well over the operator's limits
+# of 16 KiB, which are checked later.
 MAX_LINE_BYTES = 32_768
-# What has arrived when the time is over is still read: after a suspension of the
-# host the bytes and the end of the time come together.
-READ_REST_S = 0.5
-# A first request that is not whole in time has not run.
-TIMEOUT_ANSWER = (
+# Bytes that have arrived when the header timeout expires are still read in this time:
+# after a suspension of the host both happen at once.
+PENDING_READ_S = 0.5
+# Sent to a caller whose first request header was not complete in time. The request has
+# not run.
+TIMEOUT_RESPONSE = (
     b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
 
 
 class _CallerConnection(RequestHandler):
-    """One connection; ``header_s`` bounds the time for its first header."""
+    """A connection whose first header must be complete in ``header_timeout_s``."""
 
-    def __init__(self, server: web.Server, header_s: float, **options) -> None:
+    def __init__(self, server: web.Server, header_timeout_s: float, **options) -> None:
         super().__init__(server, **options)
-        self._header_s = header_s
+        self._header_timeout_s = header_timeout_s
         self._header_timer: asyncio.TimerHandle | None = None
         self._header_done = False
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; the first of them start the time for the header."""
+        """Process received bytes; the first ones start the header timeout."""
         if not self._header_done and self._header_timer is None:
             loop = asyncio.get_running_loop()
-            self._header_timer = loop.call_later(self._header_s, self._read_rest)
+            self._header_timer = loop.call_later(
+                self._header_timeout_s, self._allow_pending_reads
+            )
         super().data_received(data)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Forget the connection."""
-        self.note_header()
+        """Cancel the header timeout of a closed connection."""
+        self.on_header_complete()
         super().connection_lost(exc)
 
-    def note_header(self) -> None:
-        """Note that the first header is whole."""
+    def on_header_complete(self) -> None:
+        """Cancel the header timeout, as the first header is complete."""
         self._header_done = True
         if self._header_timer is not None:
             self._header_timer.cancel()
             self._header_timer = None
 
-    def _read_rest(self) -> None:
+    def _allow_pending_reads(self) -> None:
         loop = asyncio.get_running_loop()
-        self._header_timer = loop.call_later(READ_REST_S, self._give_up)
+        self._header_timer = loop.call_later(PENDING_READ_S, self._time_out)
 
-    def _give_up(self) -> None:
+    def _time_out(self) -> None:
         self._header_timer = None
         if self.transport is not None and not self._header_done:
-            self.transport.write(TIMEOUT_ANSWER)
+            self.transport.write(TIMEOUT_RESPONSE)
             self.transport.close()
 
 
 class CallerServer(web.Server):
     """Serves callers with ``handler``.
 
-    ``header_s`` returns how long the header of a first request may take, in
-    seconds, and ``max_body_bytes`` bounds what is ever read of a body.
+    ``header_timeout_s`` returns the seconds that a connection's first header may take,
+    and ``max_body_bytes`` limits how much of a body is read.
     """
 
     def __init__(
-        self, handler: Callable, header_s: Callable[[], float], max_body_bytes: int
+        self,
+        handler: Callable,
+        header_timeout_s: Callable[[], float],
+        max_body_bytes: int,
     ) -> None:
         super().__init__(handler, request_factory=self._build_request)
-        self._header_s = header_s
+        self._header_timeout_s = header_timeout_s
         self._max_body_bytes = max_body_bytes
-        # Handlers are cancelled when their caller leaves.
+        # Cancel a handler when its caller disconnects.
         self.handler_cancellation = True
 
     def __call__(self) -> RequestHandler:
-        """Return the handler of a new connection."""
+        """Return the protocol for a new connection."""
         return _CallerConnection(
             self,
-            self._header_s(),
+            self._header_timeout_s(),
             loop=asyncio.get_running_loop(),
             keepalive_timeout=CALLER_IDLE_S,
             max_line_size=MAX_LINE_BYTES,
@@ -99,7 +105,7 @@
     def _build_request(
         self, message, payload, protocol, writer, task
     ) -> web.BaseRequest:
-        protocol.note_header()
+        protocol.on_header_complete()
         return web.BaseRequest(
             message,
             payload,
--- a/packages/node/src/eelgrass_node/connection/callers.py
+++ b/packages/node/src/eelgrass_node/connection/callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface: one request in, one whole answer or refusal out."""
+"""The callers' HTTP interface: a complete answer or a refusal for every request."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,7 +21,7 @@
 from .replies import (
     Answer,
     AnswerStream,
-    Standing,
+    RevisionInfo,
     answer_response,
     problem_of,
     problem_response,
@@ -30,12 +30,12 @@
 
 __all__ = ["CallersInterface", "build_callers"]
 
-FULL_RETRY_S = 0.5
-START_RETRY_S = 1.0
+NODE_FULL_RETRY_S = 0.5
+NOT_CONFIGURED_RETRY_S = 1.0
 
 
 class CallersInterface:
-    """Handles callers' requests for one process."""
+    """Handles callers' requests in this process."""
 
     def __init__(
         self,
@@ -68,32 +68,32 @@
         return response
 
     async def handle_health(self, request: web.Request) -> web.Response:
-        """Answer ``GET /health``, which the balancer asks."""
+        """Answer ``GET /health``, the load balancer's health check."""
         ready = self._configuration.follower.ready and not self._stopping.stopping
         state = "ready" if ready else "not ready"
         return web.json_response({"state": state}, status=200 if ready else 503)
 
     async def _answer(self, request: web.Request) -> web.StreamResponse:
-        standing = self._standing()
-        stream = AnswerStream(request, standing)
-        keyed = KEY_HEADER in request.headers
+        revision_info = self._revision_info()
+        stream = AnswerStream(request, revision_info)
+        is_keyed = KEY_HEADER in request.headers
         request_id = ""
         dispatched = False
         try:
-            self._check_open()
+            self._check_accepting()
             version = self._configuration.version
             call = await read_request(request, version, self.max_body)
             request_id = call.request_id
-            keyed = call.key is not None and not call.pipeline.idempotent
+            is_keyed = call.key is not None and not call.pipeline.idempotent
             self._environment.dispatch.check_feasible(
                 call, call.pipeline.stages, Outcome.NOT_RUN
             )
             dispatched = True
-            return await self._run(call, stream, standing, keyed)
+            return await self._run(call, stream, revision_info, is_keyed)
         except Refused as refused:
-            if keyed and not dispatched:
+            if is_keyed and not dispatched:
                 refused.before_claim()
-            return await self._refuse(refused, request_id, stream, standing)
+            return await self._refuse(refused, request_id, stream, revision_info)
         except CallerGone:
             self._counters.count("caller.gone")
             return stream.response or web.Response()
@@ -101,44 +101,55 @@
             self._counters.count("caller.gone")
             raise
         except Exception as error:  # noqa: BLE001
-            log(Part.CALLERS, "A request failed.", id=request_id, error=repr(error))
+            log(
+                Part.CALLERS,
+                "A request failed with an unhandled error; it is answered as an "
+                "internal error with an unknown outcome.",
+                id=request_id,
+                error=repr(error),
+            )
             refused = Refused(RefusalReason.INTERNAL_ERROR, Outcome.UNKNOWN)
-            return await self._refuse(refused, request_id, stream, standing)
+            return await self._refuse(refused, request_id, stream, revision_info)
 
-    def _check_open(self) -> None:
+    def _check_accepting(self) -> None:
         if self._stopping.refusing:
             raise Refused(RefusalReason.NODE_STOPPING, Outcome.NOT_RUN, "", 0.0)
         if self._stopping.count > self._max_in_flight:
-            raise Refused(RefusalReason.NODE_FULL, Outcome.NOT_RUN, "", FULL_RETRY_S)
+            raise Refused(
+                RefusalReason.NODE_FULL, Outcome.NOT_RUN, "", NODE_FULL_RETRY_S
+            )
         if not self._configuration.follower.ready:
             raise Refused(
-                RefusalReason.NOT_CONFIGURED, Outcome.NOT_RUN, "", START_RETRY_S
+                RefusalReason.NOT_CONFIGURED,
+                Outcome.NOT_RUN,
+                "",
+                NOT_CONFIGURED_RETRY_S,
             )
 
     async def _run(
         self,
         call: CallerRequest,
         stream: AnswerStream,
-        standing: Standing,
-        keyed: bool,
+        revision_info: RevisionInfo,
+        is_keyed: bool,
     ) -> web.StreamResponse:
         emit = stream.emit if call.stream else None
-        if keyed:
-            execution = self._execution(call, _unless_gone(emit))
+        if is_keyed:
+            execution = self._execution(call, _ignore_disconnect(emit))
             answer, replayed = await self._run_claimed(call, execution)
         else:
             answer, replayed = await self._execution(call, emit)(), False
         self._counters.count("answer.complete")
         if call.stream:
             return await stream.finish(answer)
-        return answer_response(answer, standing, replayed)
+        return answer_response(answer, revision_info, replayed)
 
     def _execution(
         self, call: CallerRequest, emit: Emit | None
     ) -> Callable[[], Awaitable[Any]]:
         async def execute() -> Any:
-            note_cost = self._ledger.record
-            result = await run_pipeline(self._environment, call, emit, note_cost)
+            record_cost = self._ledger.record
+            result = await run_pipeline(self._environment, call, emit, record_cost)
             return msgspec.to_builtins(Answer.of(call.request_id, result))
 
         return execute
@@ -146,8 +157,8 @@
     async def _run_claimed(
         self, call: CallerRequest, execution: Callable[[], Awaitable[Any]]
     ) -> tuple[Any, bool]:
-        # Goes on to its end if the caller goes away, so that a repeat finds the
-        # answer; the stop of the process waits for it too.
+        # Runs to completion even if the caller disconnects, so that a repeat finds the
+        # answer. A planned stop waits for it as well.
         async def run() -> tuple[Any, bool]:
             with self._stopping.in_flight():
                 return await self._claimed.run(call, execution)
@@ -160,41 +171,41 @@
         refused: Refused,
         request_id: str,
         stream: AnswerStream,
-        standing: Standing,
+        revision_info: RevisionInfo,
     ) -> web.StreamResponse:
         self._counters.count(f"refusal.{refused.reason.value}")
         self._counters.count(f"outcome.{refused.outcome.value}")
         problem = problem_of(refused, request_id)
-        if stream.begun:
+        if stream.started:
             return await stream.fail(problem)
-        return problem_response(problem, standing)
+        return problem_response(problem, revision_info)
 
-    def _standing(self) -> Standing:
+    def _revision_info(self) -> RevisionInfo:
         follower = self._configuration.follower
         age_ms = int(follower.age() * 1000)
-        return Standing(follower.revision, age_ms, self._node)
+        return RevisionInfo(follower.revision, age_ms, self._node)
 
 
-def _unless_gone(emit: Emit | None) -> Emit | None:
-    """Return ``emit`` without its failure where the caller has gone away."""
+def _ignore_disconnect(emit: Emit | None) -> Emit | None:
+    """Return an ``emit`` that sends nothing more once the caller has disconnected."""
     if emit is None:
         return None
-    gone = False
+    disconnected = False
 
-    async def emit_unless_gone(text: str) -> None:
-        nonlocal gone
-        if gone:
+    async def emit_until_disconnect(text: str) -> None:
+        nonlocal disconnected
+        if disconnected:
             return
         try:
             await emit(text)
         except ConnectionResetError:
-            gone = True
+            disconnected = True
 
-    return emit_unless_gone
+    return emit_until_disconnect
 
 
 def build_callers(interface: CallersInterface) -> web.Application:
-    """Return the web application that callers and the balancer use."""
+    """Return the web application for callers and the load balancer."""
     app = web.Application(client_max_size=interface.max_body)
     path = "/v1/pipelines/{pipeline}/requests"
     app.router.add_post(path, interface.handle_request)
--- a/packages/node/src/eelgrass_node/connection/listen_probe.py
+++ b/packages/node/src/eelgrass_node/connection/listen_probe.py
@@ -1,4 +1,4 @@
-"""Asks whether anything listens at an address, by a connection without a request."""
+"""Checks whether a process listens at an address, by connecting without a request."""
 
 import asyncio
 import contextlib
@@ -9,13 +9,12 @@
 
 __all__ = ["probe_listening"]
 
-# The first packet of a connection is sent again after a second where it was lost;
-# asking anew is sooner.
+# A lost SYN is retransmitted after 1 s only; a new attempt is faster.
 CONNECT_S = 0.3
 
 
 async def probe_listening(address: str) -> Listening:
-    """Return whether connections to an IP address and port are accepted."""
+    """Return whether an IP address and port accept connections, if that is known."""
     host, _, port = address.rpartition(":")
     try:
         async with StallAwareTimeout(CONNECT_S):
--- a/packages/node/src/eelgrass_node/connection/listeners.py
+++ b/packages/node/src/eelgrass_node/connection/listeners.py
@@ -1,4 +1,4 @@
-"""The addresses at which a process listens, closed together at its end."""
+"""The HTTP listeners of a process, which are closed together when it stops."""
 
 from typing import Any
 
@@ -6,28 +6,28 @@
 
 __all__ = ["Listeners"]
 
-# How long a listener that is closed waits for its handlers; whoever had to be
-# waited for has been served by then.
+# How long closing a listener waits for its handlers. A planned stop has already waited
+# for the requests in flight by then.
 CLOSE_S = 0.1
 BACKLOG = 512
 
 
 class Listeners:
-    """What listens at some addresses, each an IP address and port."""
+    """Listens at addresses that are each given as IP address and port."""
 
     def __init__(self) -> None:
         self._runners: list[web.ServerRunner | web.AppRunner] = []
 
     async def serve(self, server: web.Server, address: str) -> None:
-        """Listen for a low-level server; raises :class:`OSError`."""
+        """Serve a low-level server at an address; raises :class:`OSError`."""
         await self._start(web.ServerRunner(server, shutdown_timeout=CLOSE_S), address)
 
     async def serve_app(
         self, app: web.Application, address: str, **options: Any
     ) -> None:
-        """Listen for a web application; raises :class:`OSError`.
+        """Serve a web application at an address; raises :class:`OSError`.
 
-        ``options`` go to the runner.
+        ``options`` are passed to the runner.
         """
         runner = web.AppRunner(
             app, access_log=None, shutdown_timeout=CLOSE_S, **options
@@ -35,7 +35,7 @@
         await self._start(runner, address)
 
     async def close(self) -> None:
-        """Close all, in the order in which they were opened."""
+        """Close all listeners, in the order in which they were opened."""
         for runner in self._runners:
             await runner.cleanup()
 
--- a/packages/node/src/eelgrass_node/connection/operators.py
+++ b/packages/node/src/eelgrass_node/connection/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of a node, mostly through the command line."""
+"""The operators' HTTP interface of a node; its usual client is the command line."""
 
 import hmac
 from typing import Any
@@ -42,7 +42,7 @@
 
 
 class OperatorsInterface:
-    """Answers operators for one process."""
+    """Handles operators' requests in this process."""
 
     def __init__(
         self,
@@ -68,15 +68,17 @@
 
     @web.middleware
     async def guard(self, request: web.Request, handler: Any) -> web.StreamResponse:
-        """Refuse operators' calls without the token; name errors for all."""
+        """Refuse operators' calls without the token, and report errors as JSON."""
         if request.path.startswith("/operator/"):
             given = request.headers.get(TOKEN_HEADER, "")
             if not hmac.compare_digest(given.encode(), self._token.encode()):
-                return _error(403, f"Send the operators' token as {TOKEN_HEADER}.")
+                return _error(
+                    403, f"Send the operators' token in the {TOKEN_HEADER} header."
+                )
         try:
             return await handler(request)
         except msgspec.MsgspecError as error:
-            return _error(400, f"The body is wrong: {error}. Correct it.")
+            return _error(400, f"The request body is invalid: {error}. Correct it.")
         except PlatformError as error:
             return _error(503, str(error))
 
@@ -86,7 +88,7 @@
         report = await self._changes.submit(change)
         log(
             Part.OPERATORS,
-            "A change was handled.",
+            "A configuration change was processed.",
             change=change.change_id,
             author=change.author,
             outcome=report.result.outcome.value,
@@ -107,7 +109,7 @@
         return json_response(await self._change_log.changes_after(first, head))
 
     async def handle_objects(self, request: web.Request) -> web.Response:
-        """Answer ``GET /operator/v1/objects/{kind}``, and of one ``name``."""
+        """Answer ``GET /operator/v1/objects/{kind}``; ``?name=`` selects one object."""
         kind = request.match_info["kind"]
         name = request.query.get("name")
         by_name = self._configuration.follower.snapshot.by_kind.get(kind, {})
@@ -121,18 +123,21 @@
         return json_response(self._status.collect())
 
     async def handle_costs(self, request: web.Request) -> web.Response:
-        """Answer ``GET /operator/v1/costs``, and ``?of=all`` with stored costs."""
+        """Answer ``GET /operator/v1/costs`` with this process's costs.
+
+        With ``?of=all`` it returns the stored costs of all processes instead.
+        """
         if request.query.get("of") == "all":
             return json_response(await self._cost_store.read_all())
         return json_response(self._ledger.rows())
 
     async def handle_drain(self, request: web.Request) -> web.Response:
-        """Answer ``POST /operator/v1/drain``: begin a planned stop."""
+        """Answer ``POST /operator/v1/drain``, which begins a planned stop."""
         self._stopping.request()
         return json_response({"in_flight": self._stopping.count})
 
     async def handle_claims(self, request: web.Request) -> web.Response:
-        """Answer ``GET /operator/v1/claims`` with those that have no end yet."""
+        """Answer ``GET /operator/v1/claims`` with the claims that are still open."""
         return json_response(await self._claims.list_open())
 
     async def handle_resolve(self, request: web.Request) -> web.Response:
@@ -141,11 +146,15 @@
         was_open = await self._claims.resolve(
             message.account, message.key, message.note
         )
-        log(Part.OPERATORS, "A claim was resolved.", account=message.account)
+        log(
+            Part.OPERATORS,
+            "An operator's request to resolve a claim was processed.",
+            account=message.account,
+        )
         return json_response({"resolved": was_open})
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the operators' routes."""
+        """Add the routes for operators."""
         prefix = "/operator/v1"
         app.router.add_post(f"{prefix}/changes", self.handle_change)
         app.router.add_get(f"{prefix}/changes/{{change_id}}", self.handle_find_change)
--- a/packages/node/src/eelgrass_node/connection/peer_calls.py
+++ b/packages/node/src/eelgrass_node/connection/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls from this node to others, over HTTP with JSON."""
+"""Calls from this node to other nodes, as JSON over HTTP."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -16,7 +16,7 @@
 
 
 class PeerCalls:
-    """Calls other nodes at their internal addresses; the session is shared."""
+    """Calls other nodes at their internal addresses, in one shared session."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self._session = session
@@ -27,26 +27,25 @@
         path: str,
         message: Any,
         answer: type[T],
-        within: float,
-        on_begun: Callable[[], None] = lambda: None,
+        within_s: float,
+        on_started: Callable[[], None] = lambda: None,
     ) -> T:
         """Post ``message`` to ``/peer/v1/{path}`` and decode the answer.
 
-        ``on_begun`` is told when the answer begins.
-
-        The answer must begin within ``within`` seconds, longer by the time that the
-        message takes to go out, and may then take as long as it goes on coming. Raises
-        :class:`PeerUnreachable` where no valid answer comes.
+        The answer must begin within ``within_s`` seconds, plus an allowance for sending
+        a large message; ``on_started`` is called when it does. It may then take any
+        time while data keeps arriving. Raises :class:`PeerUnreachable` if there is no
+        valid answer.
         """
         try:
             async with bounded_call(
                 self._session,
                 "POST",
                 f"http://{address}/peer/v1/{path}",
-                within,
+                within_s,
                 data=msgspec.json.encode(message),
             ) as response:
-                on_begun()
+                on_started()
                 return msgspec.json.decode(await response.read(), type=answer)
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError) as e:
             raise PeerUnreachable(address, repr(e)) from e
--- a/packages/node/src/eelgrass_node/connection/peer_state.py
+++ b/packages/node/src/eelgrass_node/connection/peer_state.py
@@ -1,7 +1,7 @@
-"""What nodes tell each other of the platform's tables.
+"""Exchange of the platform's tables between nodes.
 
-A node that reaches no store, at its start or later, gets the configuration and
-the list of servers from another node.
+A node that cannot reach the store, when it starts or later, gets the configuration, the
+list of servers and the crashes from another node.
 """
 
 from collections.abc import Callable
@@ -14,15 +14,16 @@
 
 __all__ = ["PeerState", "PeerStateInterface", "STATE_CALL"]
 
-# The name of the call under the path of all calls between nodes.
+# Name of the call below ``/peer/v1/``, the path of all calls between nodes.
 STATE_CALL = "state"
-NOTHING_KNOWN = 503
+NO_ROWS_STATUS = 503
 
 
 class PeerState(msgspec.Struct, frozen=True):
-    """All rows that a node knows, of each of the tables that it follows.
+    """All rows that a node has of each table that it follows.
 
-    Older releases do not tell of ``crashes``, the ends of servers under requests.
+    ``crashes`` are crashes of servers, with the requests that they were running. Nodes
+    of older releases do not send them.
     """
 
     operator: tuple[StoredRow, ...]
@@ -31,16 +32,16 @@
 
 
 class PeerStateInterface:
-    """Answers nodes that ask for the state; ``state`` returns what is known."""
+    """Answers nodes that ask for the tables; ``state`` returns this node's rows."""
 
     def __init__(self, state: Callable[[], PeerState]) -> None:
         self._state = state
 
     async def handle_state(self, request: web.Request) -> web.Response:
-        """Answer ``POST /peer/v1/state``; a node that knows nothing says so."""
+        """Answer ``POST /peer/v1/state``; 503 without a configuration to report."""
         state = self._state()
         if not state.operator:
-            return web.Response(status=NOTHING_KNOWN)
+            return web.Response(status=NO_ROWS_STATUS)
         return peer_answer(request, state)
 
     def add_routes(self, app: web.Application) -> None:
--- a/packages/node/src/eelgrass_node/connection/peers.py
+++ b/packages/node/src/eelgrass_node/connection/peers.py
@@ -1,4 +1,4 @@
-"""What nodes ask of each other over HTTP."""
+"""The HTTP interface of a node for its peers: configuration, claims and members."""
 
 import asyncio
 
@@ -31,13 +31,13 @@
 
 
 def json_response(message: object, status: int = 200) -> web.Response:
-    """Return a JSON response; structs, enums and raw values are understood."""
+    """Return a JSON response; ``message`` may hold structs, enums and raw JSON."""
     body = msgspec.json.encode(message)
     return web.Response(body=body, status=status, content_type="application/json")
 
 
 class PeersInterface:
-    """Answers peers for one process."""
+    """Handles peers' requests in this process."""
 
     def __init__(
         self,
@@ -50,12 +50,12 @@
         self._claimed = claimed
 
     async def handle_changes(self, request: web.Request) -> web.Response:
-        """Answer ``POST /peer/v1/changes``."""
+        """Answer ``POST /peer/v1/changes`` with the changes after a revision."""
         query = msgspec.json.decode(await request.read(), type=_After)
         return json_response(self._configuration.changes_for_peer(query.after))
 
     async def handle_revision(self, request: web.Request) -> web.Response:
-        """Answer ``POST /peer/v1/revision`` once the revision is in force."""
+        """Answer ``POST /peer/v1/revision`` once it is in force, or after the wait."""
         query = msgspec.json.decode(await request.read(), type=_WaitForRevision)
         follower = self._configuration.follower
         try:
@@ -66,7 +66,7 @@
         return json_response(RevisionReply(follower.revision))
 
     async def handle_claim(self, request: web.Request) -> web.Response:
-        """Answer ``POST /peer/v1/claims/wait``."""
+        """Answer ``POST /peer/v1/claims/wait`` once the claim's request has ended."""
         query = msgspec.json.decode(await request.read(), type=_WaitForClaim)
         wait_s = min(query.wait_s, MAX_WAIT_S)
         return json_response(
@@ -74,11 +74,11 @@
         )
 
     async def handle_members(self, request: web.Request) -> web.Response:
-        """Answer ``POST /peer/v1/members`` with all that is known."""
-        theirs = msgspec.json.decode(await request.read(), type=Exchange)
-        ours = self._membership.exchange()
-        self._membership.apply_exchange(theirs)
-        return json_response(ours)
+        """Answer ``POST /peer/v1/members``: a full exchange of the member lists."""
+        received = msgspec.json.decode(await request.read(), type=Exchange)
+        own = self._membership.exchange()
+        self._membership.apply_exchange(received)
+        return json_response(own)
 
     def add_routes(self, app: web.Application) -> None:
         """Add the peers' routes."""
--- a/packages/node/src/eelgrass_node/connection/replies.py
+++ b/packages/node/src/eelgrass_node/connection/replies.py
@@ -1,4 +1,4 @@
-"""What callers are sent: whole answers, streams and refusals."""
+"""Responses to callers: complete answers, streamed answers and refusals."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 from ..request.model import PipelineResult
 from ..request.reasons import Outcome
 
-__all__ = ["Answer", "AnswerStream", "Standing", "problem_of", "problem_response"]
+__all__ = ["Answer", "AnswerStream", "RevisionInfo", "problem_of", "problem_response"]
 
 JSON = "application/json"
 LINES = "application/x-ndjson"
@@ -17,10 +17,10 @@
 PROBLEM_TYPE = "urn:eelgrassward:problem:"
 
 
-class Standing(msgspec.Struct, frozen=True):
-    """The configuration that a request was served under.
+class RevisionInfo(msgspec.Struct, frozen=True):
+    """The configuration revision that a request was served with.
 
-    ``age_ms`` is how long ago the platform was known to have nothing newer.
+    ``age_ms`` is the time since the store last confirmed that it has no newer one.
     """
 
     revision: int
@@ -28,7 +28,7 @@
     node: str
 
     def headers(self) -> dict[str, str]:
-        """Return the headers that say so."""
+        """Return the response headers that report it."""
         return {
             "Eelgrassward-Node": self.node,
             "Eelgrassward-Revision": str(self.revision),
@@ -37,7 +37,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer; ``pieces`` counts the pieces of a generated text."""
+    """A complete answer; ``pieces`` is the number of chunks of a generated text."""
 
     request_id: str
     output: Any
@@ -47,7 +47,7 @@
 
     @classmethod
     def of(cls, request_id: str, result: PipelineResult) -> "Answer":
-        """Return the answer that carries a pipeline's result."""
+        """Return the answer with a pipeline's result and costs."""
         costs = [msgspec.to_builtins(cost) for cost in result.costs]
         return cls(request_id, result.output, result.chunks, costs=costs)
 
@@ -70,11 +70,11 @@
     return problem
 
 
-def problem_response(problem: dict, standing: Standing) -> web.Response:
-    """Return the response that carries a problem."""
-    headers = standing.headers()
+def problem_response(problem: dict, revision_info: RevisionInfo) -> web.Response:
+    """Return a problem as a response."""
+    headers = revision_info.headers()
     if "retry_after_ms" in problem:
-        # The header knows whole seconds only; the body is exact.
+        # Retry-After has a resolution of one second; the body has the exact time.
         headers["Retry-After"] = str(-(-problem["retry_after_ms"] // 1000))
     return web.Response(
         body=msgspec.json.encode(problem),
@@ -84,9 +84,11 @@
     )
 
 
-def answer_response(answer: Any, standing: Standing, replayed: bool) -> web.Response:
-    """Return the response that carries a whole answer."""
-    headers = standing.headers()
+def answer_response(
+    answer: Any, revision_info: RevisionInfo, replayed: bool
+) -> web.Response:
+    """Return a complete answer as a response."""
+    headers = revision_info.headers()
     if replayed:
         headers["Idempotent-Replayed"] = "true"
     return web.Response(
@@ -95,36 +97,36 @@
 
 
 class AnswerStream:
-    """A streamed answer: numbered pieces and a final line with their count.
+    """A streamed answer: numbered chunks and a final line with their count.
 
-    A stream without its final line was cut off. The response begins with the
-    first piece, so a refusal before it is an ordinary problem response.
+    A stream without the final line was truncated. The response starts with the first
+    chunk; a refusal before that is an ordinary problem response.
     """
 
-    def __init__(self, request: web.Request, standing: Standing) -> None:
+    def __init__(self, request: web.Request, revision_info: RevisionInfo) -> None:
         self._request = request
-        self._standing = standing
+        self._revision_info = revision_info
         self.response: web.StreamResponse | None = None
         self._count = 0
 
     @property
-    def begun(self) -> bool:
-        """Whether anything was sent."""
+    def started(self) -> bool:
+        """Whether the response has started."""
         return self.response is not None
 
     async def emit(self, text: str) -> None:
-        """Send one piece."""
+        """Send one chunk."""
         await self._write({"seq": self._count, "text": text})
         self._count += 1
 
     async def finish(self, answer: Any) -> web.StreamResponse:
-        """Send the final line of a whole answer."""
+        """Send the final line of a complete answer."""
         return await self._end(
             {"final": True, "complete": True, "count": self._count, "answer": answer}
         )
 
     async def fail(self, problem: dict) -> web.StreamResponse:
-        """Send the final line of an answer that stays incomplete."""
+        """Send the final line of an incomplete answer, with the reason."""
         return await self._end(
             {
                 "final": True,
@@ -141,7 +143,7 @@
 
     async def _write(self, line: dict) -> web.StreamResponse:
         if self.response is None:
-            response = web.StreamResponse(headers=self._standing.headers())
+            response = web.StreamResponse(headers=self._revision_info.headers())
             response.content_type = LINES
             await response.prepare(self._request)
             self.response = response
--- a/packages/node/src/eelgrass_node/connection/request_parsing.py
+++ b/packages/node/src/eelgrass_node/connection/request_parsing.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request and checks its form, before anything is run."""
+"""Parses and validates a caller's request before any of it is run."""
 
 import asyncio
 import hashlib
@@ -15,7 +15,7 @@
 from ..request.reasons import Outcome, RefusalReason
 from ..version import Pipeline, Version
 
-__all__ = ["KEY_HEADER", "key_header", "read_request"]
+__all__ = ["KEY_HEADER", "parse_idempotency_key", "read_request"]
 
 KEY_HEADER = "Idempotency-Key"
 MAX_KEY_LENGTH = 200
@@ -33,31 +33,31 @@
 async def read_request(
     request: web.Request, version: Version, max_body: int
 ) -> CallerRequest:
-    """Return the request of a caller; raises :class:`Refused`."""
-    received = asyncio.get_running_loop().time()
+    """Read a caller's request; raises :class:`Refused` where it is not valid."""
+    received_at = asyncio.get_running_loop().time()
     _check_headers(request)
     raw = await _read_body(request, max_body)
-    body = _decode(raw)
+    body = _decode_body(raw)
     name = request.match_info["pipeline"]
-    pipeline = _pipeline(request, version, body, name)
-    key = key_header(request)
+    pipeline = _find_pipeline(request, version, body, name)
+    key = parse_idempotency_key(request)
     if pipeline.key_required and key is None:
         raise _refused(RefusalReason.KEY_REQUIRED)
-    deadline_ms = _deadline_ms(body, pipeline)
+    deadline_ms = _checked_deadline_ms(body, pipeline)
     return CallerRequest(
         request_id=new_id("request"),
         pipeline=pipeline,
         input=body.input,
-        deadline=received + deadline_ms / 1000,
+        deadline=received_at + deadline_ms / 1000,
         deadline_ms=deadline_ms,
         stream=body.stream,
         key=key,
-        digest=_digest(name, body.input),
+        digest=_request_digest(name, body.input),
     )
 
 
-def key_header(request: web.Request) -> str | None:
-    """Return the idempotency key; raises :class:`Refused` where it is not valid."""
+def parse_idempotency_key(request: web.Request) -> str | None:
+    """Return the idempotency key, if any; raises :class:`Refused` if it is invalid."""
     key = request.headers.get(KEY_HEADER)
     if key is None:
         return None
@@ -67,8 +67,8 @@
     return key
 
 
-def _digest(pipeline: str, value: Any) -> str:
-    """Return a digest that tells a repeat from another request under its key."""
+def _request_digest(pipeline: str, value: Any) -> str:
+    """Return a digest that distinguishes a repeat from another request with its key."""
     canonical = msgspec.json.encode([pipeline, value], order="deterministic")
     return hashlib.sha256(canonical).hexdigest()
 
@@ -93,7 +93,7 @@
         raise _refused(RefusalReason.BODY_TOO_LARGE, detail) from error
 
 
-def _decode(raw: bytes) -> _Body:
+def _decode_body(raw: bytes) -> _Body:
     try:
         return msgspec.json.decode(raw, type=_Body)
     except msgspec.ValidationError as error:
@@ -102,7 +102,7 @@
         raise _refused(RefusalReason.MALFORMED_BODY, f"{error}.") from error
 
 
-def _pipeline(
+def _find_pipeline(
     request: web.Request, version: Version, body: _Body, name: str
 ) -> Pipeline:
     pipeline = version.pipeline(AccountName(body.account), name)
@@ -125,7 +125,7 @@
         raise _refused(RefusalReason.WRONG_ACCOUNT)
 
 
-def _deadline_ms(body: _Body, pipeline: Pipeline) -> int:
+def _checked_deadline_ms(body: _Body, pipeline: Pipeline) -> int:
     if body.deadline_ms is None:
         return pipeline.deadline_ms
     if not 1 <= body.deadline_ms <= pipeline.deadline_ms:
--- a/packages/node/src/eelgrass_node/connection/sockets.py
+++ b/packages/node/src/eelgrass_node/connection/sockets.py
@@ -1,7 +1,7 @@
-"""Sockets and client sessions that notice a peer that has gone silent.
+"""Sockets and client sessions that detect a peer that no longer answers.
 
-Connections may go silent for good without a reset, and a host behind a cut does
-not answer. Without these options a write to it would hang for many minutes.
+A connection may die without a reset, and a host behind a network partition does not
+answer. Without these socket options a write to it would hang for many minutes.
 """
 
 import socket
@@ -13,8 +13,9 @@
 
 __all__ = ["Connector", "new_session", "open_socket"]
 
-# Unacknowledged data is given up after this long: three losses in a row on a
-# link of a few milliseconds, and well under the shortest deadlines of 1.6 s.
+# A connection is closed when data stays unacknowledged for this long. It allows for
+# three consecutive losses on a link with a latency of a few milliseconds, and is below
+# the shortest deadlines, which are 1.6 s.
 USER_TIMEOUT_MS = 1500
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
@@ -22,7 +23,7 @@
 
 
 def open_socket(address: Any) -> socket.socket:
-    """Return a new socket for ``address``, as the client library gives it."""
+    """Return a new socket for ``address``, an address tuple of the client library."""
     family, kind, protocol, _, _ = address
     opened = socket.socket(family=family, type=kind, proto=protocol)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -35,7 +36,7 @@
 
 
 class Connector(aiohttp.TCPConnector):
-    """Opens such sockets; the time to connect is that in which this process runs."""
+    """Opens sockets with these options; stalls of this process extend its timeout."""
 
     def __init__(self, **options: Any) -> None:
         super().__init__(limit=0, socket_factory=open_socket, **options)
@@ -46,7 +47,7 @@
         traces: list[aiohttp.tracing.Trace],
         timeout: aiohttp.ClientTimeout,
     ) -> aiohttp.connector.Connection:
-        """Get a connection; raises :class:`TimeoutError` where none comes about."""
+        """Get a connection; raises :class:`TimeoutError` if none is open in time."""
         unbounded = aiohttp.ClientTimeout(total=None)
         async with StallAwareTimeout(timeout.sock_connect):
             return await super().connect(req, traces, unbounded)
@@ -55,10 +56,10 @@
 def new_session(
     keep_alive_s: float, connect_s: float | None = None, **options: Any
 ) -> aiohttp.ClientSession:
-    """Return a client session with such sockets, which the caller closes.
+    """Return a client session with these sockets; the caller has to close it.
 
-    ``keep_alive_s`` is how long an idle connection is kept and ``connect_s``
-    bounds the time to connect; both in seconds. ``options`` go to the session.
+    ``keep_alive_s`` is how long an idle connection is kept open and ``connect_s`` the
+    connect timeout, both in seconds. ``options`` are passed to the session.
     """
     return aiohttp.ClientSession(
         connector=Connector(keepalive_timeout=keep_alive_s, use_dns_cache=False),
--- a/packages/node/src/eelgrass_node/connection/table_feed.py
+++ b/packages/node/src/eelgrass_node/connection/table_feed.py
@@ -1,4 +1,4 @@
-"""How a node asks the relay of its data centre for changes of a table."""
+"""The call with which a node asks its data centre's relay for changes of a table."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -17,17 +17,17 @@
 __all__ = ["TableFeedClient", "TableFeedInterface"]
 
 FEED_CALL = "table-feed"
-# Over the wait that was asked for; two ways in a data centre and a busy node.
-SLACK_S = 0.3
-# A wait that a node asks for is cut to this.
+# Added to the requested wait, for a round trip in the data centre and a busy node.
+ANSWER_MARGIN_S = 0.3
+# Upper bound for the wait that a node may request.
 MAX_WAIT_S = 5.0
 
 
-class _Feed(msgspec.Struct):
-    """Asks for what changed after a version, or for the whole table.
+class _FeedRequest(msgspec.Struct):
+    """Asks for the changes after a version, or for the full table without one.
 
-    ``takes_differences`` says that a row which is known as of that version may be
-    answered with what has changed in it.
+    With ``takes_differences`` the relay may send a row as its difference to the row's
+    value as of that version.
     """
 
     table: str
@@ -37,7 +37,7 @@
 
 
 class _Knowledge(Enum):
-    """What a relay can say of the version that it was asked for."""
+    """Whether a relay has the changes since the version that it was asked for."""
 
     KNOWN = "known"
     HISTORY_GONE = "history_gone"
@@ -45,7 +45,7 @@
 
 
 class _FeedReply(msgspec.Struct, frozen=True):
-    """The changes, where the relay knows them; some rows as their differences."""
+    """The changes, if the relay has them; some rows may be sent as differences."""
 
     knowledge: _Knowledge
     changes: TableChanges | None = None
@@ -55,44 +55,49 @@
 class TableFeedClient:
     """Asks relays at their internal addresses.
 
-    ``known_row`` returns the row of a table and key as it is known here.
+    ``local_row`` returns this node's copy of the row of a table and key.
     """
 
     def __init__(
-        self, calls: PeerCalls, known_row: Callable[[str, str], StoredRow | None]
+        self, calls: PeerCalls, local_row: Callable[[str, str], StoredRow | None]
     ) -> None:
         self._calls = calls
-        self._known_row = known_row
-        # Tables of which an answer has begun and is not whole yet.
+        self._local_row = local_row
+        # Tables of which an answer has started to arrive but is not complete.
         self.arriving: set[str] = set()
 
     async def ask(
         self, address: str, table: str, after: int | None, wait_s: float
     ) -> TableChanges:
-        """Return the changes that a relay knows; ``wait_s`` bounds its wait.
+        """Return a relay's changes after a version; it may wait for them ``wait_s``.
 
-        Without a version they are the whole table.
+        With ``after=None`` it returns the full table.
 
         Raises :class:`PeerUnreachable`, :class:`HistoryGone`, and
-        :class:`StoreUnavailable` where the relay does not read the store.
+        :class:`StoreUnavailable` if the relay does not read the store.
         """
         changes, differences = await self._ask(
-            address, _Feed(table, after, wait_s, takes_differences=True)
+            address, _FeedRequest(table, after, wait_s, takes_differences=True)
         )
         if not differences:
             return changes
         try:
-            made = self._rows_made(table, differences)
+            rebuilt = self._apply_differences(table, differences)
         except DifferenceMismatch as error:
-            # This node has the row from elsewhere, of another version.
-            log(Part.STORE, "A row is asked for whole.", table=table, error=str(error))
-            changes, _ = await self._ask(address, _Feed(table, after, 0.0))
+            # This node got its copy of the row elsewhere, in another version.
+            log(
+                Part.STORE,
+                "A difference does not fit the local row; requesting full rows.",
+                table=table,
+                error=str(error),
+            )
+            changes, _ = await self._ask(address, _FeedRequest(table, after, 0.0))
             return changes
-        rows = sorted((*changes.rows, *made), key=lambda row: row.version)
+        rows = sorted((*changes.rows, *rebuilt), key=lambda row: row.version)
         return TableChanges(tuple(rows), changes.version)
 
     async def _ask(
-        self, address: str, feed: _Feed
+        self, address: str, feed: _FeedRequest
     ) -> tuple[TableChanges, tuple[RowDifference, ...]]:
         try:
             reply = await self._calls.ask(
@@ -100,7 +105,7 @@
                 FEED_CALL,
                 feed,
                 _FeedReply,
-                feed.wait_s + SLACK_S,
+                feed.wait_s + ANSWER_MARGIN_S,
                 lambda: self.arriving.add(feed.table),
             )
         finally:
@@ -108,31 +113,31 @@
         if reply.knowledge is _Knowledge.HISTORY_GONE:
             raise HistoryGone(feed.table)
         if reply.changes is None:
-            reason = f"the relay at {address} does not read it"
+            reason = f"the relay at {address} does not read the store"
             raise StoreUnavailable(feed.table, reason)
         return reply.changes, reply.differences
 
-    def _rows_made(
+    def _apply_differences(
         self, table: str, differences: tuple[RowDifference, ...]
     ) -> list[StoredRow]:
-        """Return the rows that follow from those that are known here."""
+        """Return the rows that result from this node's rows and the differences."""
         rows: list[StoredRow] = []
         for difference in differences:
-            known = self._known_row(table, difference.key)
-            if known is None or known.version < difference.version:
-                rows.append(apply_difference(known, difference))
+            local = self._local_row(table, difference.key)
+            if local is None or local.version < difference.version:
+                rows.append(apply_difference(local, difference))
         return rows
 
 
 class TableFeedInterface:
-    """Answers nodes of the data centre."""
+    """Answers the nodes of this node's data centre."""
 
     def __init__(self, relay: TableRelay) -> None:
         self._relay = relay
-        self._decoder = msgspec.json.Decoder(_Feed)
+        self._decoder = msgspec.json.Decoder(_FeedRequest)
 
     async def handle_feed(self, request: web.Request) -> web.Response:
-        """Answer ``POST /peer/v1/table-feed``; a node that is no relay says so."""
+        """Answer ``POST /peer/v1/table-feed``; the reply tells if this is no relay."""
         feed = self._decoder.decode(await request.read())
         try:
             changes = await self._relay.changes(
@@ -145,20 +150,20 @@
             reply = _FeedReply(_Knowledge.NO_STORE)
         return peer_answer(request, reply)
 
-    def _reply(self, feed: _Feed, changes: TableChanges) -> _FeedReply:
-        """Return the reply with changes, with differences in place of large rows."""
+    def _reply(self, feed: _FeedRequest, changes: TableChanges) -> _FeedReply:
+        """Return a reply with the changes, large rows as differences if possible."""
         if not feed.takes_differences or feed.after is None:
             return _FeedReply(_Knowledge.KNOWN, changes)
         rows: list[StoredRow] = []
         differences: list[RowDifference] = []
         for row in changes.rows:
-            before = self._relay.previous_large_row(feed.table, row.key, feed.after)
-            if before is None or row.value is None:
+            base = self._relay.previous_large_row(feed.table, row.key, feed.after)
+            if base is None or row.value is None:
                 rows.append(row)
             else:
-                differences.append(compute_difference(before, row))
-        rest = TableChanges(tuple(rows), changes.version)
-        return _FeedReply(_Knowledge.KNOWN, rest, tuple(differences))
+                differences.append(compute_difference(base, row))
+        remaining = TableChanges(tuple(rows), changes.version)
+        return _FeedReply(_Knowledge.KNOWN, remaining, tuple(differences))
 
     def add_routes(self, app: web.Application) -> None:
         """Add the route for other nodes."""
--- a/tests/support/cuts.py
+++ b/tests/support/cuts.py
@@ -50,8 +50,8 @@
     def _wrap_backends(self) -> None:
         for backend in self._node.backends.by_id.values():
             connections = backend.connections
-            self._wrap_session(connections._reusing())
-            self._wrap_session(connections._fresh())
+            self._wrap_session(connections._get_session())
+            self._wrap_session(connections._get_single_use_session())
 
     async def _fail_if_cut(self, url: str) -> None:
         host = url.removeprefix("http://").partition("/")[0]
--- a/tests/support/store_simulation.py
+++ b/tests/support/store_simulation.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from eelgrass_coordination import Member
-from eelgrass_node.connection.table_feed import SLACK_S
+from eelgrass_node.connection.table_feed import ANSWER_MARGIN_S
 from eelgrass_node.exceptions import (
     HistoryGone,
     PeerUnreachable,
@@ -255,7 +255,7 @@
         node = address.partition(":")[0]
         await asyncio.sleep(HOP_S)
         try:
-            async with asyncio.timeout(wait_s + SLACK_S):
+            async with asyncio.timeout(wait_s + ANSWER_MARGIN_S):
                 relay = self._tables_by_node[node].relay
                 return await relay.changes(table, after, wait_s)
         except TimeoutError as error:
--- a/tests/support/version_simulation.py
+++ b/tests/support/version_simulation.py
@@ -12,7 +12,7 @@
 from typing import Any, TypeVar
 
 from eelgrass_coordination import Member
-from eelgrass_node.connection.table_feed import SLACK_S
+from eelgrass_node.connection.table_feed import ANSWER_MARGIN_S
 from eelgrass_node.exceptions import HistoryGone, PeerUnreachable, StoreUnavailable
 from eelgrass_node.process.deployments import DeploymentInForce
 from eelgrass_node.process.peer_catch_up import PeerCatchUp
@@ -136,7 +136,7 @@
             lambda: self.day.call(
                 self.own.id,
                 address,
-                wait_s + SLACK_S,
+                wait_s + ANSWER_MARGIN_S,
                 lambda other: other.tables.relay.changes(table, after, wait_s),
             )
         )
