--- a/packages/node/src/eelgrass_node/entry_applications.py
+++ b/packages/node/src/eelgrass_node/entry_applications.py
@@ -1,4 +1,4 @@
-"""What an entry node answers besides callers: other nodes, the balancer, scrapers."""
+"""An entry node's HTTP applications for nodes, the load balancer and metrics."""
 
 from typing import TYPE_CHECKING
 
@@ -23,7 +23,7 @@
 
 
 def peer_application(node: "EntryNode", handoff: HandoffInterface) -> web.Application:
-    """Return what other nodes may ask."""
+    """Return the application that serves other nodes."""
     app = web.Application(client_max_size=MAX_BODY_BYTES)
     handoff.add_routes(app)
     PeerStateInterface(node.peer_state).add_routes(app)
@@ -33,7 +33,7 @@
 
 
 def readiness_application(node: "EntryNode", path: str) -> web.Application:
-    """Return what the balancer asks at a path."""
+    """Return the application for the load balancer's readiness check at ``path``."""
 
     async def answer(request: web.Request) -> web.Response:
         return web.Response(status=200 if node.ready else 503)
@@ -44,7 +44,7 @@
 
 
 def metrics_application(node: "EntryNode") -> web.Application:
-    """Return what scrapers ask."""
+    """Return the application that serves metrics to scrapers."""
 
     async def answer(request: web.Request) -> web.Response:
         return web.Response(body=node.metrics.text(), content_type="text/plain")
--- a/packages/node/src/eelgrass_node/entry_gauges.py
+++ b/packages/node/src/eelgrass_node/entry_gauges.py
@@ -1,4 +1,4 @@
-"""What holds now at an entry node, for the metrics."""
+"""Gauges of an entry node's current state, for the metrics endpoint."""
 
 import asyncio
 from collections.abc import Iterator
@@ -13,27 +13,31 @@
 
 
 def entry_gauges(node: "EntryNode") -> Iterator[Gauge]:
-    """Return the gauges of a node; ages are in seconds."""
+    """Yield the gauges of a node; ages are in seconds."""
     now = asyncio.get_running_loop().time()
     yield Gauge("in_flight", "Requests in flight.", node.stopping.count)
     yield Gauge(
-        "configuration_version", "Version in force.", float(node.deployments.number)
+        "configuration_version",
+        "Version of the configuration in force.",
+        float(node.deployments.number),
     )
     yield Gauge(
         "configuration_age_seconds",
-        "Time since the version in force was taken.",
+        "Time since the configuration in force was applied.",
         now - node.deployments.since,
     )
     yield Gauge(
-        "members", "Other nodes in reach.", len(node.membership.members.reachable())
+        "members", "Other reachable nodes.", len(node.membership.members.reachable())
     )
     quarantine = node.poison_requests.quarantine
     yield Gauge(
-        "suspect_requests", "Requests under which a server ended.", len(quarantine)
+        "suspect_requests",
+        "Requests that were running on a server when it crashed.",
+        len(quarantine),
     )
     yield Gauge(
         "quarantined_requests",
-        "Requests sent to no server.",
+        "Quarantined requests, which are not sent to any server.",
         quarantine.quarantined_count(),
     )
     yield Gauge("store_calls", "Calls made to the store.", float(node.store.calls))
@@ -58,23 +62,35 @@
     for data_centre, since in node.evacuation.evacuations.since_by_data_centre.items():
         yield Gauge(
             "evacuated_seconds",
-            "Time since a data centre began to be emptied.",
+            "Time since the evacuation of a data centre began.",
             now - since,
             "data_centre",
             data_centre,
         )
         yield Gauge(
             "evacuated_in_flight",
-            "Requests that still run in a data centre that is emptied.",
+            "Requests that still run in an evacuated data centre.",
             node.evacuation.in_flight(data_centre),
             "data_centre",
             data_centre,
         )
     for service, servers in node.backends.by_service.items():
         usable = len(node.backends.usable(service))
-        yield Gauge("servers", "Servers listed.", len(servers), "service", service)
-        yield Gauge("servers_usable", "Servers in use.", usable, "service", service)
+        yield Gauge(
+            "servers", "Backend servers listed.", len(servers), "service", service
+        )
+        yield Gauge(
+            "servers_usable",
+            "Backend servers that may get new requests.",
+            usable,
+            "service",
+            service,
+        )
     for service, queue in node.local_queues.by_service.items():
         yield Gauge(
-            "pieces_waiting", "Pieces in the queue.", queue.waiting, "service", service
+            "pieces_waiting",
+            "Batch items waiting in the queue.",
+            queue.waiting,
+            "service",
+            service,
         )
--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -1,6 +1,7 @@
-"""A node on the users' platform, put together from its parts.
+"""The serving node of the platform: creates its components and connects them.
 
-This is the root: it may import everything, and only the program imports it.
+This is the composition root: it may import every module of the node, and only the
+program's command line imports it.
 """
 
 import asyncio
@@ -63,23 +64,28 @@
 
 __all__ = ["EntryNode"]
 
-# The balancer asks every second and leaves out a node after two misses.
+# The load balancer checks readiness every second and removes a node after two
+# failed checks.
 STOP_NOTICE_S = 2.6
-# Kept back from the time until the process is killed.
+# Part of the stop time that is reserved for closing connections before the process
+# is killed.
 STOP_RESERVE_S = 0.7
-# For the header of a first request, before there is a configuration.
-DEFAULT_HEADER_S = 10.0
-# Another node has its answer at hand; one that is frozen is passed over after this.
-PEER_STATE_S = 0.8
-# Kept connections between nodes; longer than the callers' side keeps them.
+# Timeout for the header of a connection's first request while no configuration, which
+# sets this timeout, is in force yet.
+DEFAULT_HEADER_TIMEOUT_S = 10.0
+# A node answers from memory; one that has not answered by then is taken to be frozen
+# and the next one is asked.
+PEER_STATE_TIMEOUT_S = 0.8
+# How long idle connections between nodes are kept open; longer than callers' idle
+# connections.
 PEER_IDLE_S = 90.0
-# One probe a second finds a dead node in some 5 s; until then hand-offs to it
-# are passed over after the first that fails.
+# With one probe per second a dead node is detected in some 5 s. Until then queue
+# hand-offs skip it after the first one that fails.
 GOSSIP_INTERVAL_S = 1.0
 
 
 class EntryNode:
-    """One node: ``start`` it, then ``run_until_stopped``."""
+    """One node; call ``start`` and then ``run_until_stopped``."""
 
     def __init__(self, settings: HostSettings) -> None:
         self.settings = settings
@@ -95,7 +101,7 @@
         self.deployments = DeploymentInForce(
             configuration.CONFIGURATION_KEY,
             configuration.decode_deployment,
-            self._advanced,
+            self._on_configuration_advanced,
         )
         self.server_list = ServerList(
             self.backends,
@@ -106,21 +112,21 @@
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s, loop.time
         )
         self.reachability = DataCentreReachability(settings.data_centre, loop.time)
-        self.batch_calls = BatchCalls(stage_calls, self._server_replaced)
+        self.batch_calls = BatchCalls(stage_calls, self._on_server_replaced)
         self.peer_session = new_session(PEER_IDLE_S / 2)
         self.peer_calls = PeerCalls(self.peer_session)
         self.peer_catch_up = PeerCatchUp(
-            self._take_state_of,
+            self._fetch_peer_state,
             lambda: self.deployments.number,
             lambda: self.tables.is_ready,
             self._peer_addresses,
-            self._configuration_arrives,
+            self._is_receiving_configuration,
         )
         self.membership = Membership(
             settings.as_member(), settings.seed_gossip_addresses(), GOSSIP_INTERVAL_S
         )
-        self.membership.on_change = self._members_changed
-        self.membership.on_revision = self._revision_heard
+        self.membership.on_change = self._on_members_changed
+        self.membership.on_revision = self._on_revision_announced
         self.reachability_checks = ReachabilityChecks(
             settings.data_centre,
             self.reachability,
@@ -170,8 +176,8 @@
             self.warm_up.admission.is_bounded,
         )
         self.backends.on_change = self.local_queues.servers_changed
-        self.membership.on_gossip_item = self._mark_heard
-        self.membership.on_ack = self._ack_heard
+        self.membership.on_gossip_item = self._on_gossip_item
+        self.membership.on_ack = self._on_ack
         self.reachability.on_timeout = self.reachability_checks.check
         self.table_feed = TableFeedClient(
             self.peer_calls, lambda table, key: self.tables.row(table, key)
@@ -224,37 +230,38 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this node can serve: it does not stop, and knows both tables."""
+        """Whether this node can serve: it has both tables and is not stopping."""
         return self.tables.is_ready and not self.stopping.stopping
 
     async def start(self) -> None:
-        """Listen, join the others, and begin to follow the store."""
+        """Open the listeners, join the other nodes and begin to follow the store."""
         if self.settings.metrics is not None:
             await self._listen_metrics(self.settings.metrics)
         await self._listen_peers()
         await self.membership.start()
-        self._members_changed()
+        self._on_members_changed()
         await self._listen_callers()
         await self._listen_readiness()
-        for work in (
+        for run in (
             self.tables.operator.run,
             self.tables.servers.run,
             self.tables.crashes.run,
             self.poison_requests.table.run,
             self.peer_catch_up.start,
         ):
-            self._tasks.append(asyncio.create_task(keep_running(work)))
+            self._tasks.append(asyncio.create_task(keep_running(run)))
         log(Part.NODE, "Started.", node=self.settings.node)
 
     def reload(self) -> None:
-        """Note that the settings have changed; none concerns a running process."""
-        log(Part.NODE, "The settings have changed.")
+        """Log a request to reload; settings are only read when the process starts."""
+        log(Part.NODE, "Reload requested; settings take effect after a restart.")
 
     async def run_until_stopped(self) -> bool:
-        """Serve until a stop is asked for; returns whether nothing was cut off."""
+        """Serve until a stop is requested; return whether all requests completed."""
         await self.stopping.wait_requested()
         log(Part.NODE, "Stopping.", in_flight=self.stopping.count)
-        # Others own the queues from now on; what waits here is still served.
+        # From now on other nodes own the queues; items that already wait in this
+        # node's queues are still served.
         self.queue_owners.leave()
         await self.membership.leave()
         clean = await self.stopping.finish()
@@ -262,7 +269,7 @@
         return clean
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Stop all tasks and close all listeners and connections immediately."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -277,30 +284,30 @@
         await self.store.close()
 
     def peer_state(self) -> PeerState:
-        """Return what this node knows of the tables, for other nodes."""
+        """Return the rows of all tables that this node follows, for other nodes."""
         tables = self.tables
         return PeerState(
             tables.operator.rows(), tables.servers.rows(), tables.crashes.rows()
         )
 
-    async def _take_state_of(self, address: str) -> None:
+    async def _fetch_peer_state(self, address: str) -> None:
         state = await self.peer_calls.ask(
-            address, STATE_CALL, None, PeerState, PEER_STATE_S
+            address, STATE_CALL, None, PeerState, PEER_STATE_TIMEOUT_S
         )
         self.tables.operator.apply_peer_rows(state.operator, address)
         self.tables.servers.apply_peer_rows(state.servers, address)
         self.tables.crashes.apply_peer_rows(state.crashes, address)
 
-    def _configuration_arrives(self) -> bool:
+    def _is_receiving_configuration(self) -> bool:
         table = configuration.OPERATOR_TABLE
         since = self.store.arriving_since(table)
         return since is not None or table in self.table_feed.arriving
 
     def _peer_addresses(self) -> list[str]:
-        """Return where other nodes may be found, as far as is known."""
+        """Return the reachable members' addresses, or the seeds' if there are none."""
         members = self.membership.members.reachable()
-        known = [member.internal for member in members]
-        return known or list(self.settings.other_seeds())
+        addresses = [member.internal for member in members]
+        return addresses or list(self.settings.other_seeds())
 
     async def _listen_callers(self) -> None:
         planner = StagePlanner(
@@ -309,7 +316,7 @@
             self.queue_loads,
             self.final_call_latency,
         )
-        parts = ServingContext(
+        context = ServingContext(
             codec=requests,
             choose=self.server_choice.choose,
             admit=self.warm_up.admission.admit,
@@ -323,23 +330,27 @@
             final_call_latency=self.final_call_latency,
             retries=self.retry_budgets,
             reach=self.reachability,
-            on_server_replaced=self._server_replaced,
+            on_server_replaced=self._on_server_replaced,
             on_server_failing=self.failure_gossip.announce_failure,
             poison=self.poison_requests,
             count=self.counters.count,
             metrics=self.metrics,
         )
-        accept = RequestHandler(
-            requests, self.deployments, parts, self.stopping, self.counters.count
+        handler = RequestHandler(
+            requests, self.deployments, context, self.stopping, self.counters.count
         )
-        server = CallerServer(accept.handle, self._header_s, MAX_BODY_BYTES)
+        server = CallerServer(handler.handle, self._header_timeout_s, MAX_BODY_BYTES)
         await self._listeners.serve(server, self.settings.callers)
 
-    def _header_s(self) -> float:
+    def _header_timeout_s(self) -> float:
         deployment = self.deployments.current
-        return DEFAULT_HEADER_S if deployment is None else deployment.limits.header_s
+        return (
+            DEFAULT_HEADER_TIMEOUT_S
+            if deployment is None
+            else deployment.limits.header_s
+        )
 
-    async def _run_handed_over(
+    async def _run_handed_off(
         self, service: ServiceName, items: list[BatchItem]
     ) -> list[ItemOutcome]:
         with self.stopping.in_flight():
@@ -347,7 +358,7 @@
 
     async def _listen_peers(self) -> None:
         interface = HandoffInterface(
-            self._run_handed_over,
+            self._run_handed_off,
             self.local_queues.has_servers,
             self.local_queues.load,
             self.local_queues.free,
@@ -367,10 +378,15 @@
         try:
             await self._listeners.serve_app(metrics_application(self), address)
         except OSError as error:
-            # Serving goes on: metrics are no reason to refuse callers.
-            log(Part.NODE, "No metrics.", address=address, error=repr(error))
+            # A node without metrics can still serve callers, so it starts anyway.
+            log(
+                Part.NODE,
+                "Cannot listen for metrics scrapes; serving without metrics.",
+                address=address,
+                error=repr(error),
+            )
 
-    def _members_changed(self) -> None:
+    def _on_members_changed(self) -> None:
         members = list(self.membership.members.by_id.values())
         for member in members:
             if member.state is MemberState.SUSPECT:
@@ -380,21 +396,23 @@
         )
         self.backends.set_live_nodes(len(self.membership.members.reachable()) + 1)
 
-    def _revision_heard(self, revision: Revision, member: Member, age_s: float) -> None:
+    def _on_revision_announced(
+        self, revision: Revision, member: Member, age_s: float
+    ) -> None:
         self.deployments.on_number_announced(revision)
         self.peer_catch_up.on_number_announced(revision, member, age_s)
 
-    def _mark_heard(self, mark: GossipItem) -> None:
-        self.failure_gossip.receive(mark)
-        self.poison_requests.gossip.receive(mark)
-        self.evacuation.gossip.receive(mark)
+    def _on_gossip_item(self, item: GossipItem) -> None:
+        self.failure_gossip.receive(item)
+        self.poison_requests.gossip.receive(item)
+        self.evacuation.gossip.receive(item)
 
-    def _ack_heard(self, member: Member) -> None:
+    def _on_ack(self, member: Member) -> None:
         self.reachability_checks.record_ack(member)
         self.shared_queues.checks.on_ack(member)
 
-    def _advanced(self, number: int) -> None:
+    def _on_configuration_advanced(self, number: int) -> None:
         self.membership.announce_revision(Revision(number))
 
-    def _server_replaced(self, backend: Backend) -> None:
+    def _on_server_replaced(self, backend: Backend) -> None:
         self.server_list.forget(backend.entry.incarnation)
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -85,7 +85,9 @@
         assert process.returncode == 0
         sentences = [json.loads(line)["message"] for line in output.splitlines()]
         assert sentences[0] == "node: Started."
-        assert "node: The settings have changed." in sentences
+        assert (
+            "node: Reload requested; settings take effect after a restart." in sentences
+        )
         assert "configuration: A version is in force." in sentences
         assert sentences[-1] == "node: Stopped."
 
