--- a/packages/node/src/eelgrass_node/__main__.py
+++ b/packages/node/src/eelgrass_node/__main__.py
@@ -1,4 +1,4 @@
-"""The entry point of ``eelgrassd``; it imports little until it runs."""
+"""The entry point of ``eelgrassd``; the command line is imported when it runs."""
 
 import sys
 
--- a/packages/node/src/eelgrass_node/boot_clock.py
+++ b/packages/node/src/eelgrass_node/boot_clock.py
@@ -1,8 +1,8 @@
-"""An event loop whose clock goes on while the host is suspended.
+"""An event loop whose clock continues while the host is suspended.
 
-The usual monotonic clock stands still then. A request's deadline would seem as
-far away after the host wakes as before, though its caller has long left; with
-this clock it has passed, and so have the leases on what was last heard.
+The usual monotonic clock stops meanwhile. After the host resumes, a request's deadline
+would be as far away as before the suspension, although its caller has long
+disconnected. With this clock deadlines, and the leases on received state, have expired.
 """
 
 import asyncio
@@ -12,10 +12,10 @@
 
 
 class BootClockLoop(asyncio.SelectorEventLoop):
-    """The standard loop, with the time since the host was started."""
+    """The standard selector loop, whose time is the time since the host booted."""
 
     def time(self) -> float:
-        """Return the time in seconds, suspension included."""
+        """Return the time in seconds, including time spent suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
--- a/packages/node/src/eelgrass_node/cli.py
+++ b/packages/node/src/eelgrass_node/cli.py
@@ -19,7 +19,7 @@
 
 
 def serve(settings: Path, *, check: bool = False) -> int:
-    """Run a node until it is told to stop by SIGTERM or SIGINT.
+    """Run a node until SIGTERM or SIGINT stops it.
 
     :param settings: the YAML file with the settings of this node
     :param check: check the settings and exit
--- a/packages/node/src/eelgrass_node/exceptions.py
+++ b/packages/node/src/eelgrass_node/exceptions.py
@@ -1,4 +1,4 @@
-"""The exception tree of the node; every message names a remedy."""
+"""The exceptions that the node raises; every message names a remedy."""
 
 from .process.batch_items import ItemFailure
 from .request.reasons import Outcome, RefusalReason, RetryReason, refusal_kind
@@ -24,11 +24,11 @@
 
 
 class NodeError(Exception):
-    """Base of all errors raised by the node."""
+    """Base class of all errors that the node raises."""
 
 
 class SettingsError(NodeError):
-    """A settings file is wrong."""
+    """A settings file cannot be read or has an invalid value."""
 
     def __init__(self, file: str, key: str, reason: str, remedy: str) -> None:
         super().__init__(f"{file}: {key}: {reason}. {remedy}")
@@ -36,33 +36,33 @@
 
 
 class CallerGone(NodeError):
-    """The caller closed its connection before its answer was complete."""
+    """The caller disconnected before its answer was complete."""
 
     def __init__(self) -> None:
-        super().__init__("The caller has gone away. Nothing is left to do for it.")
+        super().__init__("The caller has disconnected. Stop working on its request.")
 
 
 class PeerUnreachable(NodeError):
     """Another node gave no valid answer in time.
 
-    ``timed_out`` says that it did not answer at all.
+    ``timed_out`` is True if it did not answer at all.
     """
 
     def __init__(self, address: str, reason: str, timed_out: bool = False) -> None:
         self.timed_out = timed_out
         super().__init__(
             f"The node at {address} gave no valid answer ({reason}). Ask another "
-            "node, or ask it again later."
+            "node, or retry later."
         )
 
 
 class Refused(NodeError):
-    """A request gets no answer from its pipeline.
+    """A request is refused: it gets no answer from its pipeline.
 
-    ``retry_after`` is in seconds, None where a repeat would not help.
-    ``outcome`` speaks of the request: where it has an idempotency key, of all
-    calls under that key. ``this_call_ran`` is False where this very call is
-    known to have run nothing, whatever an earlier one did.
+    ``retry_after`` is in seconds, None if a retry would not help. ``outcome`` is that
+    of the request; with an idempotency key, of all calls with this key together.
+    ``this_call_ran`` is False if this call is known to have run nothing, even if an
+    earlier call with the key did.
     """
 
     def __init__(
@@ -82,10 +82,10 @@
         self.this_call_ran = True
 
     def before_claim(self) -> "Refused":
-        """Return this refusal as one of a call that did not hold its key.
+        """Mark this refusal as that of a call that did not hold its idempotency key.
 
-        An earlier call under the key may have run, so "not run" would be a
-        claim about the request that nobody here can make.
+        An earlier call with the key may have run, so the outcome of the request is
+        unknown here; only this call is known not to have run.
         """
         self.outcome = Outcome.UNKNOWN
         self.this_call_ran = False
@@ -93,81 +93,83 @@
 
 
 class ConfigurationMalformed(NodeError):
-    """A configuration in the store cannot be read."""
+    """A configuration in the store cannot be decoded."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(
-            f"The configuration in the store cannot be read ({reason}). The last "
-            "good one stays in force; write a corrected one."
+            f"The configuration in the store cannot be decoded ({reason}). The last "
+            "valid one stays in force; write a corrected one to the store."
         )
 
 
 class ServerEntryMalformed(NodeError):
-    """The entry of a backend server in the store cannot be read."""
+    """The entry of a backend server in the store cannot be decoded."""
 
     def __init__(self, server_id: str, reason: str) -> None:
         super().__init__(
-            f"The entry of backend server {server_id} cannot be read ({reason}). "
-            "The server gets no new work until a good one comes; correct what "
-            "is written there."
+            f"The entry of backend server {server_id} cannot be decoded ({reason}). "
+            "The server gets no new work until its entry is valid; correct the entry "
+            "in the store."
         )
 
 
 class DifferenceMismatch(NodeError):
-    """A row cannot be made of the one before it and a difference."""
+    """A difference does not fit the row that it is to be applied to."""
 
     def __init__(self, key: str, reason: str) -> None:
         super().__init__(
-            f"The row {key} cannot be made of the one before it ({reason}). Ask for it "
-            "whole."
+            f"The row {key} cannot be rebuilt from a difference ({reason}). Request "
+            "the full row."
         )
 
 
 class StoreUnavailable(NodeError):
-    """The platform's store gave no good answer."""
+    """The platform's store gave no valid answer."""
 
-    def __init__(self, what: str, reason: str) -> None:
+    def __init__(self, resource: str, reason: str) -> None:
         super().__init__(
-            f"The store gave no good answer about {what} ({reason}). Ask again "
-            "shortly; what was last read stays in force."
+            f"The store gave no valid answer for {resource} ({reason}). Retry shortly; "
+            "the data that was read last stays in force."
         )
 
 
 class HistoryGone(NodeError):
-    """The store no longer knows the changes since a version."""
+    """The store no longer has the changes since a version."""
 
-    def __init__(self, what: str) -> None:
+    def __init__(self, resource: str) -> None:
         super().__init__(
-            f"The store has dropped the history asked for ({what}). Read the "
-            "table whole."
+            f"The store no longer has the requested history ({resource}). Read the "
+            "full table."
         )
 
 
 class RequestMalformed(NodeError):
-    """A caller's request breaks the protocol."""
+    """A caller's request violates the protocol."""
 
     def __init__(self, reason: str) -> None:
+        # Callers get this text as the body of the refusal.
         super().__init__(f"The request is malformed: {reason}. Correct it.")
 
 
 class BatchAnswerMalformed(NodeError):
-    """A backend server's answer does not fit the call for pieces."""
+    """A backend server's answer to a call that runs batch items is not valid."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(
-            f"The answer does not fit the call ({reason}). Run the pieces elsewhere."
+            f"The answer to the batch call is not valid ({reason}). Run the items on "
+            "another server."
         )
 
 
 class StagesFailed(NodeError):
-    """The stages before a request could not be run.
+    """The stages that a request needs could not be run.
 
-    ``trouble`` says why, ``retry_after_s`` when to come back, in seconds.
+    ``failure`` is the reason and ``retry_after_s`` when to retry, in seconds.
     """
 
     def __init__(self, failure: ItemFailure, retry_after_s: float) -> None:
         super().__init__(
-            f"A stage had no result ({failure.value}). Repeat the request in "
+            f"A stage failed without a result ({failure.value}). Retry the request in "
             f"{retry_after_s:.1f} s."
         )
         self.failure = failure
@@ -175,14 +177,14 @@
 
 
 class CallFailed(NodeError):
-    """A call to a backend server has no answer that may be passed on.
+    """A call to a backend server got no answer that can be forwarded.
 
-    ``not_run`` is True only where the request surely did not run there.
+    ``not_run`` is True only if the request certainly did not run there.
     """
 
     def __init__(self, reason: RetryReason, not_run: bool) -> None:
         super().__init__(
-            f"The backend server gave no good answer ({reason.value}). Try "
+            f"The backend server gave no valid answer ({reason.value}). Retry on "
             "another one if the request may be repeated."
         )
         self.reason = reason
@@ -190,19 +192,19 @@
 
 
 class RequestRefused(NodeError):
-    """A routed request gets no answer from a server.
+    """A routed request is refused; callers get ``reason``.
 
-    ``retry_after_s`` is in seconds, None where nothing is known of it.
+    ``retry_after_s`` is in seconds, None if no time can be given.
     """
 
     def __init__(self, reason: str, retry_after_s: float | None = None) -> None:
-        super().__init__(f"The request is refused ({reason}). Repeat it later.")
+        super().__init__(f"The request is refused ({reason}). Retry it later.")
         self.reason = reason
         self.retry_after_s = retry_after_s
 
 
 class RequestQuarantined(RequestRefused):
-    """Servers have ended under a request again and again."""
+    """A request is in quarantine, since servers crashed while they were running it."""
 
     def __init__(self, request: str, retry_after_s: float) -> None:
         super().__init__(
--- a/packages/node/src/eelgrass_node/log.py
+++ b/packages/node/src/eelgrass_node/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: short sentences, each with the fixed prefix of its part."""
+"""Structured logging: a sentence with the prefix of its component, and fields."""
 
 import sys
 from enum import Enum
@@ -12,7 +12,7 @@
 
 
 class Part(Enum):
-    """The parts of the node that write logs; the value is the prefix."""
+    """The components of the node that write logs; the value is the prefix."""
 
     NODE = "node"
     CONFIGURATION = "configuration"
@@ -33,7 +33,10 @@
 
 
 def log_to_stdout() -> None:
-    """Write logs as JSON lines to standard output, never waiting for a reader."""
+    """Write logs as JSON lines to standard output, without blocking on a slow reader.
+
+    See :class:`.log_pipe.LogPipe` for what is dropped then.
+    """
     eliot.add_destinations(LogPipe(sys.stdout.fileno()).write)
 
 
--- a/packages/node/src/eelgrass_node/log_pipe.py
+++ b/packages/node/src/eelgrass_node/log_pipe.py
@@ -1,9 +1,9 @@
-"""Writes log lines to a pipe without ever waiting for its reader.
+"""Writes log lines to a pipe without blocking on its reader.
 
-A reader that stops reading must cost no request: lines are kept up to a bound,
-then left out, and their number is logged once there is room again. The volume
-is bounded too: of each kind of line only so many a second are written, apart
-from those that tell how a request failed.
+A reader that stops reading must not delay requests. Lines are buffered up to a limit
+and then dropped; their number is logged once the pipe is writable again. The rate is
+limited as well, per second and kind of line, except for the lines that say how a
+request failed.
 """
 
 import asyncio
@@ -15,12 +15,14 @@
 
 __all__ = ["LINES_PER_S", "LogPipe"]
 
-# On the heaviest days of the users' sheets a host writes some 11 lines a second
-# in all; this leaves room for storms and keeps them under 1% of a core.
+# Rate limit for each kind of line. Under the heaviest planned load a host writes some
+# 11 lines a second in all; the limit allows for bursts of errors and keeps logging
+# below 1% of a core.
 LINES_PER_S = 100
-MAX_KEPT_BYTES = 1 << 18
-# Kinds of lines that are never left out for their number.
-UNBOUNDED = frozenset(
+MAX_BUFFER_BYTES = 1 << 18
+# Kinds of lines that the rate limit does not apply to. They have to be the sentences
+# that the request layer logs for failed requests.
+UNLIMITED_KINDS = frozenset(
     (
         "requests: Refused.",
         "requests: The deadline passed.",
@@ -34,71 +36,71 @@
 
     def __init__(self, fd: int) -> None:
         self._fd = fd
-        self._kept = bytearray()
-        self._second = 0
+        self._buffer = bytearray()
+        self._current_second = 0
         self._lines_by_kind: Counter[str] = Counter()
-        self._left_out: Counter[str] = Counter()
-        self._waiting = False
+        self._dropped_by_kind: Counter[str] = Counter()
+        self._awaits_writable = False
         os.set_blocking(fd, False)
 
     def write(self, message: dict) -> None:
-        """Write one message, or count it where there is no room for it."""
+        """Write one message, or drop and count it if a limit is reached."""
         kind = str(message.get("message", ""))
-        if not self._within_budget(kind):
-            self._left_out[kind] += 1
+        if not self._is_within_limit(kind):
+            self._dropped_by_kind[kind] += 1
             return
         line = msgspec.json.encode(message, enc_hook=repr) + b"\n"
-        if len(self._kept) + len(line) > MAX_KEPT_BYTES:
-            self._left_out[kind] += 1
+        if len(self._buffer) + len(line) > MAX_BUFFER_BYTES:
+            self._dropped_by_kind[kind] += 1
             return
-        self._kept += line
+        self._buffer += line
         self._flush()
 
-    def _within_budget(self, kind: str) -> bool:
+    def _is_within_limit(self, kind: str) -> bool:
         second = int(time.monotonic())
-        if second != self._second:
-            self._second = second
+        if second != self._current_second:
+            self._current_second = second
             self._lines_by_kind.clear()
-            self._tell_left_out()
+            self._report_dropped()
         self._lines_by_kind[kind] += 1
-        return kind in UNBOUNDED or self._lines_by_kind[kind] <= LINES_PER_S
+        return kind in UNLIMITED_KINDS or self._lines_by_kind[kind] <= LINES_PER_S
 
-    def _tell_left_out(self) -> None:
-        if not self._left_out or len(self._kept) > MAX_KEPT_BYTES // 2:
+    def _report_dropped(self) -> None:
+        if not self._dropped_by_kind or len(self._buffer) > MAX_BUFFER_BYTES // 2:
             return
         line = msgspec.json.encode(
             {
-                "message": "node: Log lines were left out.",
-                "left_out": dict(self._left_out),
+                "message": "node: Log lines were dropped, by kind.",
+                "left_out": dict(self._dropped_by_kind),
                 "timestamp": time.time(),
             }
         )
-        self._left_out.clear()
-        self._kept += line + b"\n"
+        self._dropped_by_kind.clear()
+        self._buffer += line + b"\n"
 
     def _flush(self) -> None:
-        if self._waiting:
+        if self._awaits_writable:
             return
         try:
-            written = os.write(self._fd, self._kept)
+            written = os.write(self._fd, self._buffer)
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads any more, and there is nowhere to say so.
-            written = len(self._kept)
-        del self._kept[:written]
-        if self._kept:
-            self._wait_for_room()
+            # The reader has closed the pipe, and there is no other place to log to.
+            written = len(self._buffer)
+        del self._buffer[:written]
+        if self._buffer:
+            self._await_writable()
 
-    def _wait_for_room(self) -> None:
+    def _await_writable(self) -> None:
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             return
-        self._waiting = True
-        loop.add_writer(self._fd, self._room)
+        self._awaits_writable = True
+        loop.add_writer(self._fd, self._on_writable)
 
-    def _room(self) -> None:
-        self._waiting = False
+    def _on_writable(self) -> None:
+        self._awaits_writable = False
         asyncio.get_running_loop().remove_writer(self._fd)
         self._flush()
--- a/packages/node/src/eelgrass_node/settings.py
+++ b/packages/node/src/eelgrass_node/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a node, read from YAML and checked whole at the start."""
+"""The settings of a node, which are read from YAML and validated when it starts."""
 
 import re
 from pathlib import Path
@@ -27,11 +27,11 @@
 ADDRESS = re.compile(r"(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}")
 
 
-class _Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of all parts: an unknown key is an error."""
+class _Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """Base class of all sections; an unknown key is an error."""
 
 
-class Listen(_Part):
+class Listen(_Section):
     """Addresses that the node listens on, each an IP number and port."""
 
     callers: str
@@ -39,38 +39,38 @@
     gossip: str
 
 
-class Peer(_Part):
-    """Another node, as a first contact; the others are heard of from it."""
+class Peer(_Section):
+    """A seed node; this node learns of the other nodes from its seeds."""
 
     id: NodeId
     internal: str
     gossip: str
 
 
-class Platform(_Part):
-    """The platform's services; the timeout is for one call."""
+class Platform(_Section):
+    """The address of the platform's services, and the timeout of a call to them."""
 
     address: str
     call_timeout_ms: int = 500
 
 
-class Statsd(_Part):
-    """Where the counters are sent."""
+class Statsd(_Section):
+    """The StatsD server that counters are sent to."""
 
     host: str
     port: int = 8125
     prefix: str = "eelgrassward"
 
 
-class Limits(_Part):
-    """Limits on what callers send and on what is in flight."""
+class Limits(_Section):
+    """Limits on callers' request bodies and on requests in flight."""
 
     max_body_bytes: int = 1 << 20
     max_in_flight: int = 2000
 
 
-class Policy(_Part):
-    """Which policies are in force; see the operator's page."""
+class Policy(_Section):
+    """The policies for server choice, queue order, admission and retries."""
 
     choice: Choice = Choice.LEAST_OF_TWO
     order: Order = Order.PRIORITY_DEADLINE
@@ -79,8 +79,8 @@
     retry_budget_reserve: float = 20.0
 
 
-class Timing(_Part):
-    """Intervals and bounds, in milliseconds."""
+class Timing(_Section):
+    """Intervals and time limits, in milliseconds."""
 
     head_poll_ms: int = 1000
     hosts_poll_ms: int = 1000
@@ -94,8 +94,8 @@
     cost_store_ms: int = 30000
 
 
-class Settings(_Part):
-    """All settings of one node. ``operator_token`` guards operators' calls."""
+class Settings(_Section):
+    """All settings of one node. Operators' calls must carry ``operator_token``."""
 
     node: NodeId
     data_centre: DataCentre
@@ -110,21 +110,21 @@
 
 
 def load_settings(file: Path) -> Settings:
-    """Read and check a settings file; raises :class:`SettingsError`."""
+    """Read and validate a settings file; raises :class:`SettingsError`."""
     name = str(file)
     try:
         raw = yaml.safe_load(file.read_text())
     except OSError as error:
-        remedy = "Give the path of a readable file."
+        remedy = "Specify the path of a readable file."
         raise SettingsError(name, "file", str(error), remedy) from error
     except yaml.YAMLError as error:
-        remedy = "Correct the YAML there."
+        remedy = "Correct the YAML syntax."
         raise SettingsError(name, "file", str(error), remedy) from error
     try:
         settings = msgspec.convert(raw, Settings)
     except msgspec.ValidationError as error:
         raise _validation_error(name, error, raw) from error
-    _check(name, settings)
+    _check_values(name, settings)
     return settings
 
 
@@ -137,42 +137,42 @@
     elif "missing required field" in reason:
         remedy = "Add it; see the example settings."
     else:
-        remedy = "Give a value of the type that is named."
-    shown = "" if value is None else f" (found {value!r})"
-    return SettingsError(name, key, f"{reason}{shown}", remedy)
+        remedy = "Specify a value of the expected type."
+    found = "" if value is None else f" (found {value!r})"
+    return SettingsError(name, key, f"{reason}{found}", remedy)
 
 
 def _value_at(raw: Any, key: str) -> Any:
-    for part in key.split("."):
+    for segment in key.split("."):
         if not isinstance(raw, dict):
             return None
-        raw = raw.get(part)
+        raw = raw.get(segment)
     return None if isinstance(raw, dict) else raw
 
 
-def _check(name: str, settings: Settings) -> None:
+def _check_values(name: str, settings: Settings) -> None:
     addresses = {
         "listen.callers": settings.listen.callers,
         "listen.internal": settings.listen.internal,
         "listen.gossip": settings.listen.gossip,
     }
-    for number, peer in enumerate(settings.peers):
-        addresses[f"peers[{number}].internal"] = peer.internal
-        addresses[f"peers[{number}].gossip"] = peer.gossip
+    for index, peer in enumerate(settings.peers):
+        addresses[f"peers[{index}].internal"] = peer.internal
+        addresses[f"peers[{index}].gossip"] = peer.gossip
     for key, value in addresses.items():
         if not ADDRESS.fullmatch(value):
-            remedy = "Give an IP number and a port, as 10.0.0.5:8080."
+            remedy = "Specify an IP address and a port, for example 10.0.0.5:8080."
             raise SettingsError(name, key, f"not an address (found {value!r})", remedy)
     if not settings.platform.address.startswith("http://"):
-        remedy = "Give it as http://10.0.0.9:9000."
+        remedy = "Specify a URL, for example http://10.0.0.9:9000."
         value = settings.platform.address
         raise SettingsError(name, "platform.address", f"found {value!r}", remedy)
     for key in Timing.__struct_fields__:
         value = getattr(settings.timing, key)
         if value <= 0:
-            remedy = "Give a positive number of milliseconds."
+            remedy = "Specify a positive number of milliseconds."
             raise SettingsError(name, f"timing.{key}", f"found {value}", remedy)
     if not 0 <= settings.policy.retry_budget_ratio <= 1:
-        remedy = "Give a fraction from 0 to 1."
+        remedy = "Specify a fraction from 0 to 1."
         value = settings.policy.retry_budget_ratio
         raise SettingsError(name, "policy.retry_budget_ratio", f"found {value}", remedy)
