--- a/packages/node/tests/test_boot_clock.py
+++ b/packages/node/tests/test_boot_clock.py
@@ -1,4 +1,4 @@
-"""The clock of the node's event loop."""
+"""The event loop's clock continues while the host is suspended."""
 
 import asyncio
 import time
@@ -8,7 +8,7 @@
 
 
 class SuspendedClock:
-    """Stands for the system's clock on a host that was suspended meanwhile."""
+    """A stand-in for the ``time`` module of a host that has been suspended."""
 
     CLOCK_BOOTTIME = time.CLOCK_BOOTTIME
 
@@ -20,7 +20,7 @@
 
 
 class TestBootClock:
-    def test_a_deadline_passes_while_the_host_is_suspended(self, monkeypatch):
+    def test_a_deadline_expires_while_the_host_is_suspended(self, monkeypatch):
         clock = SuspendedClock()
         monkeypatch.setattr(boot_clock, "time", clock)
 
@@ -30,9 +30,9 @@
                 async with asyncio.timeout(20.0):
                     await asyncio.sleep(25.0)
             except TimeoutError:
-                return "passed"
+                return "expired"
 
         began = time.monotonic()
         with asyncio.Runner(loop_factory=BootClockLoop) as runner:
-            assert runner.run(wait()) == "passed"
+            assert runner.run(wait()) == "expired"
         assert time.monotonic() - began < 5.0
--- a/packages/node/tests/test_log_pipe.py
+++ b/packages/node/tests/test_log_pipe.py
@@ -1,4 +1,4 @@
-"""Logs under load, and with a reader that stops reading."""
+"""Log lines under load and with a stalled reader, and the text of the metrics."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
     os.close(writer)
 
 
-def read(reader):
+def read_available(reader):
     os.set_blocking(reader, False)
     data = b""
     while True:
@@ -31,12 +31,12 @@
             return data
 
 
-def parsed(data):
+def parse_lines(data):
     return [json.loads(line) for line in data.splitlines()]
 
 
 class TestLogPipe:
-    async def test_a_reader_that_stalls_holds_nobody_up(self, pipe, monkeypatch):
+    async def test_a_stalled_reader_does_not_block_writers(self, pipe, monkeypatch):
         monkeypatch.setattr(log_pipe, "LINES_PER_S", 1_000_000)
         reader, writer = pipe
         log = LogPipe(writer)
@@ -44,38 +44,38 @@
         for number in range(20_000):
             log.write({"message": "a", "number": number, "filler": "x" * 100})
         assert time.monotonic() - began < 2.0
-        data = read(reader)
-        # Once there is room the rest of what was kept follows.
+        data = read_available(reader)
+        # The rest of the buffered lines follows once the pipe is writable again.
         for _ in range(10):
             await asyncio.sleep(0.01)
-            data += read(reader)
-        first = parsed(data)
-        assert [entry["number"] for entry in first] == list(range(len(first)))
-        assert len(first) < 20_000
+            data += read_available(reader)
+        written = parse_lines(data)
+        assert [entry["number"] for entry in written] == list(range(len(written)))
+        assert len(written) < 20_000
 
-    async def test_what_was_left_out_is_told_with_its_number(self, pipe):
+    async def test_the_number_of_dropped_lines_is_logged(self, pipe):
         reader, writer = pipe
         log = LogPipe(writer)
-        # At the start of a second, so that all lines fall into one.
+        # Begin at the start of a second, so that all lines fall into the same one.
         await asyncio.sleep(1.0 - time.monotonic() % 1)
         for _ in range(LINES_PER_S + 50):
             log.write({"message": "many"})
         await asyncio.sleep(1.0)
         log.write({"message": "other"})
-        lines = parsed(read(reader))
-        told = [entry["left_out"] for entry in lines if "left_out" in entry]
-        assert told == [{"many": 50}]
+        lines = parse_lines(read_available(reader))
+        dropped = [entry["left_out"] for entry in lines if "left_out" in entry]
+        assert dropped == [{"many": 50}]
 
-    async def test_the_line_of_a_failed_request_is_never_left_out(self, pipe):
+    async def test_lines_of_failed_requests_have_no_rate_limit(self, pipe):
         reader, writer = pipe
         log = LogPipe(writer)
         for number in range(3 * LINES_PER_S):
             log.write({"message": "requests: Refused.", "id": number})
-        assert len(parsed(read(reader))) == 3 * LINES_PER_S
+        assert len(parse_lines(read_available(reader))) == 3 * LINES_PER_S
 
 
 class TestMetrics:
-    def test_counters_gauges_and_histograms_as_text(self):
+    def test_the_text_has_counters_gauges_and_histograms(self):
         counters = Counters()
         counters.count("retry.connect_failed", 3)
         gauges = [
