--- a/packages/ctl/tests/test_crashes.py
+++ b/packages/ctl/tests/test_crashes.py
@@ -20,7 +20,7 @@
 def record_crashes(node, request, *servers):
     for server in servers:
         incarnation = ServerIncarnation(BackendId(server))
-        node.poison._on_crash(incarnation, [request])
+        node.poison_requests._on_crash(incarnation, [request])
 
 
 @pytest.fixture
@@ -43,12 +43,20 @@
         ]
 
     async def test_all_nodes_accept_a_cleared_request_again(self, entry):
-        assert all(node.poison.quarantine.is_quarantined(HELD) for node in entry.nodes)
+        assert all(
+            node.poison_requests.quarantine.is_quarantined(HELD) for node in entry.nodes
+        )
         assert await clear_request(entry.store_address, HELD) == 3
         await until(
-            lambda: not any(n.poison.quarantine.is_suspect(HELD) for n in entry.nodes)
+            lambda: (
+                not any(
+                    n.poison_requests.quarantine.is_suspect(HELD) for n in entry.nodes
+                )
+            )
+        )
+        assert all(
+            node.poison_requests.quarantine.is_suspect(SUSPECT) for node in entry.nodes
         )
-        assert all(node.poison.quarantine.is_suspect(SUSPECT) for node in entry.nodes)
         assert await clear_request(entry.store_address, HELD) == 0
 
     async def test_an_unreachable_store_is_an_error(self):
