--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Passes over the tests that KNOWN-RED.txt lists, and prints them.
+"""Marks the tests listed in KNOWN-RED.txt as expected failures and reports them.
 
-Each line of that file holds a test, the cause and the issue, with ``|`` between.
-Besides, the deployment that tests before stand-ins of the users' platform share.
+Each line of that file holds a test id, the cause and the issue, separated by ``|``.
+Also defines the fixture that the tests against stand-ins of the users' platform share.
 """
 
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Return the cause by test, for the tests that are listed."""
+    """Return the cause and issue of each listed test, by test id."""
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text().splitlines()
@@ -24,7 +24,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Let listed tests run without failing the whole."""
+    """Run the listed tests without letting their failures fail the test run."""
     red = known_red()
     for item in items:
         if item.nodeid in red:
@@ -32,13 +32,13 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print what is listed."""
+    """Print the listed tests at the end of the run."""
     for test, cause in known_red().items():
         terminalreporter.write_line(f"known red: {test}: {cause}")
 
 
 @pytest_asyncio.fixture
 async def entry():
-    """Give two nodes, two servers of each service and a store."""
+    """Start two nodes, two servers of each service and a store."""
     async with EntryDeployment() as deployment:
         yield deployment
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A non-idempotent request runs at most once, and 'not run' is true."""
+"""A non-idempotent request runs at most once, and a reported 'not run' is correct."""
 
 import asyncio
 
@@ -50,8 +50,8 @@
     assert violations(recorded.calls, deployment.journal()) == []
 
 
-async def repeat_until_settled(history, deployment, token, first_node=1, tries=12):
-    """Repeat a keyed request at one node after the other, as a caller would."""
+async def retry_until_answered(history, deployment, token, first_node=1, tries=12):
+    """Retry a keyed request at each node in turn, as a caller would."""
     for number in range(tries):
         node = (first_node + number) % 3
         reply = await history.call(
@@ -65,21 +65,23 @@
 
 class TestBackendFaults:
     @pytest.mark.parametrize("name", SERVICE_FAULTS)
-    async def test_a_faulty_service_runs_it_once(self, deployment, history, name):
+    async def test_faulty_servers_run_a_request_at_most_once(
+        self, deployment, history, name
+    ):
         token = f"service-{name}"
         deployment.fault("register-desk", SERVICE_FAULTS[name])
         await history.call(
             deployment, 0, "transmittal", token, key=token, deadline_ms=800
         )
         deployment.fault("register-desk")
-        reply = await repeat_until_settled(history, deployment, token, tries=3)
+        reply = await retry_until_answered(history, deployment, token, tries=3)
         assert deployment.runs_of("register-desk", f"<{token}>") <= 1
         if name in ("refuse", "leaving-once", "slow"):
             assert reply.status == 200, reply
         else:
             assert reply.outcome == "unknown", reply
 
-    async def test_without_a_key_it_is_not_repeated(self, deployment, history):
+    async def test_a_request_without_a_key_is_not_retried(self, deployment, history):
         token = "without-key"
         deployment.fault("register-desk", SERVICE_FAULTS["drop-answer"])
         reply = await history.call(deployment, 0, "transmittal", token)
@@ -89,7 +91,9 @@
 
 class TestPlatformFaults:
     @pytest.mark.parametrize("name", PLATFORM_FAULTS)
-    async def test_a_faulty_platform_runs_it_once(self, deployment, history, name):
+    async def test_a_request_runs_once_if_the_platform_fails(
+        self, deployment, history, name
+    ):
         token = f"platform-{name}"
         deployment.fault("platform", PLATFORM_FAULTS[name])
         first = await history.call(
@@ -97,7 +101,7 @@
         )
         assert first.status == 200 or "retry_after_ms" in first.body, first
         deployment.fault("platform")
-        reply = await repeat_until_settled(history, deployment, token)
+        reply = await retry_until_answered(history, deployment, token)
         assert reply.status == 200, reply
         assert deployment.runs_of("register-desk", f"<{token}>") == 1
 
@@ -111,7 +115,7 @@
         other = await history.call(deployment, 0, "revision-check", "outage-check")
         assert other.status == 200
         deployment.fault("platform")
-        reply = await repeat_until_settled(history, deployment, "outage")
+        reply = await retry_until_answered(history, deployment, "outage")
         assert reply.status == 200
 
 
@@ -133,7 +137,7 @@
         assert reply.status == 422
         assert reply.outcome == "not_run"
 
-    async def test_a_refusal_of_a_repeat_does_not_deny_the_first_run(
+    async def test_a_refused_repeat_is_not_reported_as_not_run(
         self, deployment, history
     ):
         first = await history.call(deployment, 0, "transmittal", "denied", key="denied")
@@ -145,7 +149,7 @@
         assert repeat.outcome == "unknown"
         assert repeat.body["this_call"] == "not_run"
 
-    async def test_a_stopping_node_does_not_deny_an_earlier_run(
+    async def test_a_stopping_node_does_not_report_a_repeat_as_not_run(
         self, deployment, history
     ):
         await history.call(deployment, 0, "transmittal", "stopping", key="stopping")
@@ -159,7 +163,7 @@
         assert repeat.body["this_call"] == "not_run"
         assert unkeyed.outcome == "not_run"
 
-    async def test_not_run_is_not_said_after_an_earlier_partial_run(
+    async def test_not_run_is_not_reported_after_an_earlier_partial_run(
         self, deployment, history
     ):
         deployment.fault("register-desk", Fault(Action.REFUSE, RUN))
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a 4xx that names the field and the remedy, and runs nothing."""
+"""Bad input gets a 4xx response with the field and the remedy, and nothing runs."""
 
 import pytest
 import pytest_asyncio
@@ -76,7 +76,7 @@
         )
         check_problem(deployment, reply, status, reason)
 
-    async def test_a_header_that_comes_twice_is_refused(self, deployment):
+    async def test_a_duplicate_header_is_refused(self, deployment):
         headers = [
             ("Authorization", "Bearer demo-key"),
             ("Idempotency-Key", "a"),
@@ -97,6 +97,6 @@
         )
         check_problem(deployment, reply, 404, "unknown-pipeline")
 
-    async def test_each_refusal_has_its_counter(self, deployment):
+    async def test_refusals_are_counted_by_reason(self, deployment):
         assert deployment.count("refusal.bad-field") >= 5
         assert deployment.count("refusal.wrong-account") == 1
--- a/tests/test_caller_gone.py
+++ b/tests/test_caller_gone.py
@@ -1,4 +1,4 @@
-"""A caller that goes away in the middle of a stream."""
+"""A caller that disconnects in the middle of a stream."""
 
 import asyncio
 
@@ -11,12 +11,12 @@
 from support.local import LocalDeployment
 
 
-async def emit_to_nobody(text):
+async def emit_to_closed_connection(text):
     raise ConnectionResetError
 
 
 class TestCallerGone:
-    async def test_it_is_no_failure_of_the_engine(self):
+    async def test_it_does_not_count_as_a_server_failure(self):
         async with LocalDeployment(nodes=1) as deployment:
             node = deployment.nodes[0]
             pipeline = node.configuration.version.pipeline(
@@ -27,7 +27,9 @@
                 "r", pipeline, "in", loop.time() + 2.0, 2000, True, None, ""
             )
             stage = msgspec.structs.replace(pipeline.stages[-1], max_tokens=500)
-            run = StageRun(node.environment, request, stage, 0.0, emit_to_nobody)
+            run = StageRun(
+                node.environment, request, stage, 0.0, emit_to_closed_connection
+            )
             with pytest.raises(CallerGone):
                 await run.run("in")
             await asyncio.sleep(0.2)
--- a/tests/test_configuration_in_force.py
+++ b/tests/test_configuration_in_force.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force on every node, and stays so."""
+"""An accepted configuration change takes effect on every node and stays in force."""
 
 import asyncio
 
@@ -48,7 +48,9 @@
             )
             assert reply.body["type"].endswith("bad-deadline")
 
-    async def test_two_teams_at_two_nodes_cannot_both_win(self, deployment):
+    async def test_one_of_two_conflicting_changes_at_two_nodes_is_refused(
+        self, deployment
+    ):
         reports = await asyncio.gather(
             amend_deadline(deployment, 0, 1800, "team-a"),
             amend_deadline(deployment, 8, 1700, "team-b"),
@@ -63,7 +65,9 @@
         polling = sum(b > a for a, b in zip(reads, after, strict=True))
         assert polling == 2 * len(DATA_CENTRES)
 
-    async def test_an_outage_stops_no_request_and_is_told(self, deployment):
+    async def test_requests_in_an_outage_are_served_with_the_revision_age(
+        self, deployment
+    ):
         deployment.fault("platform", Fault(Action.REFUSE))
         await asyncio.sleep(1.5)
         reply = await deployment.client.call(
@@ -79,7 +83,9 @@
 
         await until(confirmed)
 
-    async def test_a_node_starts_in_an_outage_from_its_peers(self, deployment):
+    async def test_a_node_starts_in_an_outage_with_the_revision_of_its_peers(
+        self, deployment
+    ):
         newest = deployment.nodes[0].configuration.follower.revision
         deployment.fault("platform", Fault(Action.REFUSE))
         await deployment.nodes[5].close()
@@ -91,7 +97,7 @@
         finally:
             deployment.fault("platform")
 
-    async def test_no_node_goes_back_on_what_a_peer_says(self, deployment):
+    async def test_an_older_revision_from_a_peer_is_ignored(self, deployment):
         sync = deployment.nodes[1].configuration
         newest = sync.follower.revision
         member = deployment.nodes[2].membership.own
@@ -109,9 +115,9 @@
             node.snapshots._every = 1000
         await amend_deadline(deployment, 0, 1500, "after-snapshot")
         newest = deployment.nodes[0].configuration.follower.revision
-        alone = LocalDeployment(nodes=1)
-        alone.settings[0]["platform"] = deployment.settings[0]["platform"]
-        node = await alone.start_node(0)
+        new_deployment = LocalDeployment(nodes=1)
+        new_deployment.settings[0]["platform"] = deployment.settings[0]["platform"]
+        node = await new_deployment.start_node(0)
         try:
             assert node.configuration.follower.revision == newest
             replayed = [c.revision for c in node.configuration.follower.recent_changes]
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -1,4 +1,4 @@
-"""Cost by stage adds up to what the backend servers themselves counted."""
+"""The costs by stage add up to the busy time in the backend servers' journals."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
     ("encoders", Fault(Action.REFUSE, "/v1/run", times=2)),
     ("rerankers", Fault(Action.REFUSE, "/v1/run", times=2)),
 ]
-PROMISED_ERROR = 0.02
+MAX_RELATIVE_ERROR = 0.02
 
 
 async def call_many(deployment, count, disturb):
@@ -44,8 +44,8 @@
     await asyncio.sleep(0.5)
 
 
-def counted(deployment):
-    """Return what the nodes counted: useful, wasted and unreported attempts."""
+def cost_totals(deployment):
+    """Return the nodes' totals: useful ms, wasted ms and unreported attempts."""
     rows = [row for node in deployment.nodes for row in node.ledger.rows()]
     return (
         sum(row.useful_ms for row in rows),
@@ -56,21 +56,22 @@
 
 class TestCosts:
     @pytest.mark.parametrize("disturb", [False, True])
-    async def test_they_add_up_to_the_journals(self, disturb):
+    async def test_costs_add_up_to_the_journals(self, disturb):
         spec = association(engines=2, pool_size=2, work=1.0, step_ms=2.0)
         policy = {"retry_budget_ratio": 1.0}
         async with LocalDeployment(spec, nodes=2, policy=policy) as deployment:
             await call_many(deployment, 80, disturb)
             busy = sum(entry.busy_ms for entry in deployment.journal())
-            useful, wasted, unreported = counted(deployment)
+            useful, wasted, unreported = cost_totals(deployment)
         assert unreported == 0
-        assert useful + wasted == pytest.approx(busy, rel=PROMISED_ERROR)
+        assert useful + wasted == pytest.approx(busy, rel=MAX_RELATIVE_ERROR)
         assert (wasted > 0) == disturb
 
 
-class TestCostsToldLate:
-    # Guards against sums that miss what servers spent on attempts given up early.
-    async def test_an_attempt_that_was_given_up_before_its_first_piece_counts(self):
+class TestCostsReportedLate:
+    # Guards against totals without the work that servers did for attempts which the
+    # node gave up early.
+    async def test_an_attempt_given_up_before_its_first_chunk_is_counted(self):
         silent = Fault(Action.SILENT_STREAM, GENERATE, times=1, after=0)
         slow = Fault(Action.DELAY, "/v1/cancel", delay_s=0.3, times=1)
         spec = association(engines=2, pool_size=2, work=1.0, step_ms=2.0)
@@ -80,18 +81,18 @@
                 deployment.callers(0), "revision-check", "late"
             )
             assert reply.status == 200
-            await until(lambda: counted(deployment)[2] == 0)
+            await until(lambda: cost_totals(deployment)[2] == 0)
             busy = sum(entry.busy_ms for entry in deployment.journal())
-            useful, wasted, _ = counted(deployment)
+            useful, wasted, _ = cost_totals(deployment)
         assert wasted > 0
-        assert useful + wasted == pytest.approx(busy, rel=PROMISED_ERROR)
+        assert useful + wasted == pytest.approx(busy, rel=MAX_RELATIVE_ERROR)
 
 
 class TestStoredCosts:
-    async def test_they_outlive_a_planned_stop_and_add_up(self):
+    async def test_costs_survive_a_planned_stop_and_add_up(self):
         async with LocalDeployment(nodes=2, timing={"cost_store_ms": 100}) as running:
             await call_many(running, 20, disturb=False)
-            before = counted(running)
+            before = cost_totals(running)
             stopped = running.nodes.pop(0)
             stopped.stopping.request()
             assert await stopped.run_until_stopped()
@@ -100,7 +101,7 @@
         assert sum(row["useful_ms"] for row in rows) == pytest.approx(before[0])
         assert sum(row["requests"] for row in rows) == 20 / 2 * 4 + 20 / 2 * 2
 
-    async def test_an_outage_is_made_good_later(self):
+    async def test_costs_of_an_outage_are_stored_afterwards(self):
         async with LocalDeployment(nodes=1) as running:
             await call_many(running, 4, disturb=False)
             running.fault("platform", Fault(Action.REFUSE))
