--- a/tests/features/operators.feature
+++ b/tests/features/operators.feature
@@ -1,5 +1,5 @@
 Feature: Operators change the configuration
-  Each change either takes effect whole, everywhere, or is refused with a remedy.
+  Each change either takes effect completely on every node or is refused with a remedy.
 
   Scenario: A change is in force on every node
     When an operator amends template "current-issue" with deadline_ms 1900 at node 0
@@ -14,12 +14,12 @@
     Then the command ends with code 1
     And it says "prepare the change anew"
 
-  Scenario: A template must suit the parameter sets that use it
+  Scenario: A template must match the parameter sets that use it
     When an operator amends template "revision-check" without its parameter "model"
     Then the command ends with code 1
     And it says "parameters/permit-clerks/revision-check.values.model: not a parameter"
 
-  Scenario: A parameter set must suit its template
+  Scenario: A parameter set must match its template
     When an operator sets value "length" of "ministry/revision-check" to "long"
     Then the command ends with code 1
     And it says "parameters/ministry/revision-check.values.length: it is no integer"
@@ -29,7 +29,7 @@
     Then the command ends with code 1
     And it says "template 'transmittal' does not exist"
 
-  Scenario: A reused name does not take what was written for its predecessor
+  Scenario: A parameter set does not apply to a later template of the same name
     Given a template "notice" and a parameter set written for it
     And the template "notice" is deleted and created anew by another team
     When the operator applies the parameter set
@@ -40,7 +40,7 @@
     When an operator applies the change "twice" two times
     Then both commands end with code 0 and name the same revision
 
-  Scenario: A wrong settings file is refused with file, key and remedy
+  Scenario: An invalid settings file is refused with file, key and remedy
     When an operator checks settings without a platform
     Then the command ends with code 2
     And it says "missing required field"
--- a/tests/test_large_configuration.py
+++ b/tests/test_large_configuration.py
@@ -1,13 +1,14 @@
-"""A change of a large configuration over narrow links is in force in time.
+"""A change of a large configuration takes effect in time over narrow links.
 
-What was seen: after a change that added 1,564 routes, requests on the newest route got
-404 at nodes that had not heard of it 5 s after it had been confirmed, where 3 s were
-promised; one node did not have it 19 s later, and after a loss of all processes three
-never had any configuration. The links of most hosts were full all the while, with
-traffic between the nodes and from the store, and callers were refused or late.
+Guards against changes that reach nodes too late. After a change that added 1,564
+routes, some nodes still answered 404 on the newest route 5 s after the change had been
+confirmed; the bound is 3 s. One node did not have the change 19 s later. After all
+processes had been lost, three nodes never received a configuration. Traffic between the
+nodes and from the store saturated the links of most hosts all the time, and callers
+were refused or served late.
 
-How it came about: the configuration had grown to some 0.8 MB, which takes over a second
-on a link of 5 Mbit/s.
+The cause is the size: the configuration had grown to some 0.8 MB, which takes over a
+second on a link of 5 Mbit/s.
 """
 
 import asyncio
@@ -22,20 +23,20 @@
 # A link of 5 Mbit/s.
 LINK_BYTES_PER_S = 0.6e6
 NODES = 8
-# A few packets to each node, beside what the nodes tell each other anyway.
+# A few packets to each node, besides the gossip that the nodes exchange anyway.
 SMALL_CHANGE_BYTES = 8_000
 
 
 @pytest.fixture
 async def narrow():
-    """Give nodes with narrow links, before a large configuration."""
+    """Start nodes with narrow links; the large configuration is not yet stored."""
     async with NarrowLinks(NODES, LINK_BYTES_PER_S) as deployment:
         yield deployment
 
 
 @pytest.fixture
 async def mixed():
-    """Give one strong node, which relays, and others with narrow links."""
+    """Start a high-capacity node, which is the relay, and others with narrow links."""
     async with NarrowLinks(NODES, LINK_BYTES_PER_S, strong_nodes=1) as deployment:
         yield deployment
 
@@ -45,15 +46,15 @@
 
 
 class TestLargeChange:
-    async def test_it_is_in_force_everywhere_in_time(self, narrow):
+    async def test_it_is_in_force_on_every_node_in_time(self, narrow):
         narrow.store.put("op", "config", large_configuration(5, ROUTES))
         await until(in_force(narrow, 5), IN_FORCE_S)
 
     async def test_small_changes_soon_after_it_are_in_force_in_time(self, mixed):
-        """They were sent whole again, to every node, while the large one was read.
+        """Each was sent to every node as a full row while the large one was still read.
 
-        Where the relay has a narrow link, too, two reads of the whole row from the
-        store take it over 2 of the 3 s.
+        If the relay has a narrow link too, two reads of the full row from the store
+        take over 2 of the 3 s.
         """
         mixed.store.put("op", "config", large_configuration(5, ROUTES))
         waits = []
@@ -70,8 +71,8 @@
             status, _, _ = await mixed.ask("/newest-8/x", node=node)
             assert status == 200
 
-    async def test_a_small_change_after_it_costs_little(self, narrow):
-        """It was sent whole to each node, and filled links as the large one did."""
+    async def test_a_small_change_after_it_sends_few_bytes(self, narrow):
+        """It was sent to each node as a full row and saturated the links."""
         narrow.store.put("op", "config", large_configuration(5, ROUTES))
         await until(in_force(narrow, 5), 20.0)
         before = sum(proxy.sent for proxy in narrow.node_proxies)
@@ -90,10 +91,10 @@
 
 
 class TestNodeThatIsBehind:
-    """A node has heard that there is a newer configuration, and cannot read it yet.
+    """A node knows that there is a newer configuration but cannot read it yet.
 
-    It refused requests for good, with 404 or 401, by what it knew to be out of date;
-    callers take that as final. It may still be so where links fail.
+    It refused requests with 404 or 401 by a configuration that it knew to be outdated;
+    callers take these as final. A node can still fall behind when links fail.
     """
 
     @pytest.fixture
@@ -110,21 +111,21 @@
             await until(lambda: deployment.nodes[0].deployments.superseded)
             yield deployment
 
-    async def test_a_route_that_it_does_not_know_may_be_there_soon(self, behind):
+    async def test_an_unknown_route_is_refused_with_retry_after(self, behind):
         status, headers, _ = await behind.ask("/newest/x")
         assert status == 503
         assert 0 < float(headers["Retry-After"]) < 1
 
-    async def test_and_so_may_a_key(self, behind):
+    async def test_an_unknown_key_is_refused_with_retry_after(self, behind):
         status, headers, _ = await behind.ask("/safe/x", Authorization="Bearer key-2")
         assert status == 503
         assert 0 < float(headers["Retry-After"]) < 1
 
-    async def test_what_it_knows_is_served(self, behind):
+    async def test_a_known_route_is_served(self, behind):
         status, _, _ = await behind.ask("/safe/x")
         assert status == 200
 
-    async def test_once_it_has_caught_up_it_refuses_for_good(self, behind):
+    async def test_refusals_are_final_once_it_has_caught_up(self, behind):
         for proxy in (*behind.store_proxies, *behind.node_proxies):
             proxy.heal()
         await until(lambda: behind.nodes[0].deployments.number == 5)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,8 +1,8 @@
-"""Who may import whom: what lives long does not import what lives short.
+"""Import rules: a layer does not import a layer whose objects have shorter lifetimes.
 
-From the longest life to the shortest: process, connection, request. A version is
-a value that all of them hold, so `version` imports none of them. The adapter and
-the roots stand apart, on top.
+From the longest lifetime to the shortest: process, connection, request. All of them
+hold a version as a value, so `version` imports none of them. The platform adapter and
+the entry modules are above the layers.
 """
 
 import ast
@@ -24,7 +24,7 @@
     "__main__",
 }
 
-# Modules of the product's own front door that still import against the rule; the
+# Modules of the product's own caller interface that still break the import rule; the
 # list may only shrink.
 EXCEPTIONS = {
     "connection/callers.py",
@@ -42,10 +42,10 @@
 
 @contextmanager
 def without_finalizers():
-    """Keep the collector from running finalizers.
+    """Keep the garbage collector from running finalizers.
 
-    One that formats a traceback parses source itself, and Python 3.11 fails a parse
-    that another one has interrupted: its depth counter is the interpreter's.
+    A finalizer that formats a traceback parses source itself. In Python 3.11 a parse
+    fails if another one interrupts it: the interpreter has one parser depth counter.
     """
     was_enabled = gc.isenabled()
     gc.disable()
@@ -63,7 +63,7 @@
 
 
 def imported(file: Path) -> set[str]:
-    """Return the parts of the node that a module imports."""
+    """Return the layers and top-level modules of the node that a module imports."""
     parts = set()
     package = file.relative_to(ROOT).parts[:-1]
     for node in ast.walk(parsed(file)):
@@ -76,8 +76,8 @@
     return parts
 
 
-def breaches() -> dict[str, set[str]]:
-    """Return what each module imports against the rule."""
+def rule_violations() -> dict[str, set[str]]:
+    """Return, by module, the imports that break the rule."""
     found = {}
     for file in sorted(ROOT.rglob("*.py")):
         name = file.relative_to(ROOT).as_posix()
@@ -91,18 +91,18 @@
 
 
 class ParsesWhenCollected:
-    """Garbage whose finalizer parses, as one does that formats a traceback."""
+    """Cyclic garbage whose finalizer parses, like one that formats a traceback."""
 
     def __init__(self):
-        self.itself = self
+        self.cycle = self
 
     def __del__(self):
         ast.parse("f(1, (2, [3]))")
 
 
 class TestParsed:
-    # Guards against verdicts that hang on what earlier tests left to collect.
-    def test_garbage_that_parses_does_not_end_a_parse(self):
+    # Guards against results that depend on garbage which earlier tests left behind.
+    def test_garbage_that_parses_does_not_break_a_parse(self):
         thresholds = gc.get_threshold()
         try:
             for threshold in range(100, 9000, 200):
@@ -118,13 +118,13 @@
 
 
 class TestLayers:
-    def test_what_lives_long_does_not_import_what_lives_short(self):
-        assert breaches().keys() <= EXCEPTIONS
+    def test_no_layer_imports_a_layer_of_shorter_lifetime(self):
+        assert rule_violations().keys() <= EXCEPTIONS
 
     def test_the_list_of_exceptions_has_no_dead_entries(self):
-        assert breaches().keys() >= EXCEPTIONS
+        assert rule_violations().keys() >= EXCEPTIONS
 
-    def test_nothing_but_the_roots_imports_the_adapter(self):
+    def test_only_the_entry_node_imports_the_adapter(self):
         importers = {
             file.relative_to(ROOT).as_posix()
             for file in ROOT.rglob("*.py")
@@ -133,7 +133,7 @@
         outside = {name for name in importers if not name.startswith("platform/")}
         assert outside == {"entry_node.py"}
 
-    def test_names_of_the_wire_stay_in_the_adapter(self):
+    def test_wire_names_are_used_only_in_the_adapter(self):
         wire = ("Eelgrassward-Attempt", "Eelgrassward-Engine", "rows-get", "/-/")
         outside = [
             file.relative_to(ROOT).as_posix()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators at the command line."""
+"""Runs the scenarios of operators at the command line."""
 
 import json
 
@@ -14,7 +14,7 @@
 
 
 class Terminal:
-    """Runs commands and keeps what the last one printed."""
+    """Runs commands and keeps their exit codes and the output of the last one."""
 
     def __init__(self, background, folder, capsys):
         self._background = background
@@ -37,7 +37,7 @@
         return yaml.safe_load(self.printed)["items"][0]
 
     def apply(self, *items, change_id=None, node=0):
-        """Write a change file and apply it."""
+        """Write a change file, apply it and return the exit code."""
         file = self._folder / "change.yaml"
         file.write_text(yaml.safe_dump({"items": list(items)}))
         named = ["--change-id", change_id] if change_id else []
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def prepared():
-    """What an operator prepared earlier in the scenario."""
+    """Items and outputs that earlier steps of the scenario left for later ones."""
     return []
 
 
@@ -146,8 +146,8 @@
 @given('the template "notice" is deleted and created anew by another team')
 def notice_replaced(terminal):
     base = terminal.show("templates", "notice")["base_revision"]
-    gone = new_item("templates", "notice", None, "delete", base)
-    assert terminal.apply(gone, node=1) == 0
+    deletion = new_item("templates", "notice", None, "delete", base)
+    assert terminal.apply(deletion, node=1) == 0
     assert terminal.apply(new_item("templates", "notice", notice(300)), node=1) == 0
 
 
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -1,4 +1,4 @@
-"""A data centre cut off from the others and the platform serves what it can."""
+"""A data centre partitioned from the others and the platform serves what it can."""
 
 import asyncio
 
@@ -15,30 +15,30 @@
 pytestmark = pytest.mark.asyncio(loop_scope="module")
 
 DATA_CENTRES = ("cau-giay", "long-bien", "ha-dong")
-CUT = "ha-dong"
+PARTITIONED = "ha-dong"
 
 
 class Partition:
-    """Cuts the nodes and servers of one data centre off from all others."""
+    """Blocks traffic between one data centre and the others with the platform."""
 
     def __init__(self, deployment):
         self._deployment = deployment
         self._cuts = [Cuts(node) for node in deployment.nodes]
 
     def cut(self):
-        """Cut the data centre off."""
+        """Block all traffic between the data centre and the rest."""
         inside, outside = set(), {self._deployment.stand_ins.spec.platform.address}
         for settings in self._deployment.settings:
-            group = inside if settings["data_centre"] == CUT else outside
+            group = inside if settings["data_centre"] == PARTITIONED else outside
             group |= {settings["listen"]["internal"], settings["listen"]["gossip"]}
         for backend in self._deployment.stand_ins.spec.backends:
-            group = inside if backend.data_centre == CUT else outside
+            group = inside if backend.data_centre == PARTITIONED else outside
             group.add(backend.address)
         for settings, cuts in zip(self._deployment.settings, self._cuts, strict=True):
-            cuts.block(outside if settings["data_centre"] == CUT else inside)
+            cuts.block(outside if settings["data_centre"] == PARTITIONED else inside)
 
     def heal(self):
-        """End the cut."""
+        """Unblock all traffic."""
         for cuts in self._cuts:
             cuts.block(())
 
@@ -59,7 +59,7 @@
 
 
 class TestPartition:
-    async def test_it_serves_tells_its_revision_and_catches_up(self, deployment):
+    async def test_it_serves_with_its_old_revision_and_catches_up(self, deployment):
         history = History()
         partition = Partition(deployment)
         inside, outside = 2, 0
@@ -67,7 +67,8 @@
 
         async def dead_to_each_other():
             return (
-                states_seen_by(deployment.nodes[outside])[CUT] is MemberState.DEAD
+                states_seen_by(deployment.nodes[outside])[PARTITIONED]
+                is MemberState.DEAD
                 and states_seen_by(deployment.nodes[inside])["cau-giay"]
                 is MemberState.DEAD
             )
--- a/tests/test_platform_bad_input.py
+++ b/tests/test_platform_bad_input.py
@@ -1,4 +1,4 @@
-"""Malformed, oversized, slow and smuggled requests reach no backend server."""
+"""Malformed, oversized, slow and smuggled requests do not reach a backend server."""
 
 import asyncio
 
@@ -88,7 +88,7 @@
 
 
 async def send(entry, text, within_s=2.0):
-    """Send bytes and return the status of what comes back, 0 for nothing."""
+    """Send bytes and return the status of the response, 0 if there is none."""
     reader, writer = await connect(entry.nodes[0].settings.callers)
     writer.write(text.encode())
     try:
@@ -109,7 +109,7 @@
         assert await send(entry, text) == expected
         assert runs(entry) == []
 
-    async def test_a_smuggled_request_is_none(self, entry):
+    async def test_a_smuggled_request_is_passed_on_as_the_body(self, entry):
         inner = f"POST /once/x HTTP/1.1\r\n{HEAD}\r\n"
         length = f"Content-Length: {len(inner)}"
         text = f"POST /safe/x HTTP/1.1\r\n{HEAD}{length}\r\n\r\n{inner}"
@@ -123,21 +123,21 @@
 
 
 class TestSlowCallers:
-    async def bound_headers(self, entry, milliseconds):
-        """Put a bound on the time for a header into force."""
+    async def set_header_timeout(self, entry, milliseconds):
+        """Configure the timeout for request headers and wait until it is in force."""
         settings = configuration(version=2)
         settings["Limits"]["HeaderTimeoutMs"] = milliseconds
         entry.store.put("op", "config", settings)
         await until(lambda: entry.nodes[0].deployments.number == 2)
 
-    async def test_a_header_that_does_not_end_is_given_up(self, entry):
-        await self.bound_headers(entry, 200)
+    async def test_an_incomplete_header_times_out(self, entry):
+        await self.set_header_timeout(entry, 200)
         began = asyncio.get_running_loop().time()
         assert await send(entry, f"POST /safe/x HTTP/1.1\r\n{HEAD}") == 408
         assert 0.2 <= asyncio.get_running_loop().time() - began < 1.5
 
     async def test_an_idle_connection_stays_open(self, entry):
-        await self.bound_headers(entry, 100)
+        await self.set_header_timeout(entry, 100)
         reader, writer = await connect(entry.nodes[0].settings.callers)
         for _ in range(2):
             await asyncio.sleep(1.0)
--- a/tests/test_platform_news.py
+++ b/tests/test_platform_news.py
@@ -1,4 +1,4 @@
-"""How entry nodes hear of configurations and of servers, before small stand-ins."""
+"""How entry nodes learn of configurations and servers from the store and from peers."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 class TestConfiguration:
-    async def test_a_new_one_is_in_force_and_an_old_one_is_not_taken(self, entry):
+    async def test_a_newer_one_is_in_force_and_an_older_one_is_ignored(self, entry):
         newer = configuration(
             5, keys=("key-2",), routes=[route("new", "idempotent", "desk")]
         )
@@ -30,12 +30,12 @@
         await asyncio.sleep(0.3)
         assert [node.deployments.number for node in entry.nodes] == [5, 5]
 
-    async def test_it_comes_after_lost_history(self, entry):
+    async def test_it_arrives_after_the_store_has_dropped_its_history(self, entry):
         entry.store.drop_history()
         entry.store.put("op", "config", configuration(3))
         await until(lambda: all(n.deployments.number == 3 for n in entry.nodes), 2.0)
 
-    async def test_it_outlasts_the_store(self, entry):
+    async def test_it_stays_in_force_while_the_store_is_down(self, entry):
         entry.store.down = True
         await asyncio.sleep(0.2)
         status, _, _ = await entry.ask("/safe/x")
@@ -54,8 +54,8 @@
             assert status == 200
         assert leaver.runs == [] and len(stayer.runs) == 6
 
-    async def test_a_server_that_is_taken_off_the_list_ends_what_it_runs(self):
-        """Some servers leave without a word and still serve for seconds."""
+    async def test_a_server_taken_off_the_list_completes_its_requests(self):
+        """Some servers leave the list without notice and still serve for seconds."""
         async with EntryDeployment(event_s=0.3) as entry:
             call = asyncio.create_task(entry.ask("/stream/single/x"))
             await until(lambda: entry.runs("readers"))
@@ -66,7 +66,7 @@
             status, _, body = await call
             assert (status, body) == (200, WHOLE)
 
-    async def test_a_planned_stop_cuts_off_nothing(self):
+    async def test_a_planned_stop_cuts_off_no_request(self):
         async with EntryDeployment(event_s=0.4) as entry:
             call = asyncio.create_task(entry.ask("/stream/single/x"))
             await until(lambda: entry.runs("readers"))
@@ -81,21 +81,21 @@
 
 
 class TestPeers:
-    async def test_a_node_that_starts_in_an_outage_learns_from_others(self, entry):
+    async def test_a_node_that_starts_in_an_outage_reads_from_peers(self, entry):
         entry.store.down = True
         late = await entry.add_node()
-        # A relay that has lost one table of two leaves it without servers for half a
-        # second; it is not ready then, and no caller comes.
+        # If the relay can still read only one of the two tables, the new node has no
+        # servers for half a second. It is not ready then, and no caller uses it.
         await until(lambda: late.ready, 3.0)
         assert late.deployments.number == 1
         status, _, _ = await entry.ask("/safe/x", node=len(entry.nodes) - 1)
         assert status == 200
 
-    async def test_it_learns_of_the_servers_where_it_has_the_configuration(self, entry):
-        """Its relay had lost one table and not yet the other, as an outage began.
+    async def test_it_gets_the_servers_if_it_has_only_the_configuration(self, entry):
+        """As an outage began, the relay could no longer read one table of the two.
 
-        It was ready with a configuration and without servers, refused all, and
-        asked no other node, for as long as the outage lasted.
+        The new node was ready with a configuration and without servers. It refused all
+        requests and asked no other node for as long as the outage lasted.
         """
         entry.store.down_tables.add("servers")
         await until(lambda: not any(n.tables.servers.reachable for n in entry.nodes))
@@ -106,7 +106,7 @@
         assert status == 200
 
     async def test_a_node_without_servers_is_not_ready(self, entry):
-        """Callers go to another node meanwhile."""
+        """Callers use another node until it is ready."""
         late = entry.new_node()
         known = entry.nodes[0].tables
         late.tables.operator.apply_peer_rows(known.operator.rows(), "n0:1")
@@ -117,22 +117,22 @@
 
     async def test_a_node_without_the_store_gets_a_newer_version(self, entry):
         first = entry.nodes[0]
-        # This node alone does not reach it.
+        # Only this node cannot reach the store.
         first.tables.operator._reader = UnreachableStore("out of reach")
         entry.store.put("op", "config", configuration(6))
         await until(lambda: first.deployments.number == 6, 4.0)
 
 
 class TestRelays:
-    async def test_one_node_of_a_data_centre_reads_for_all(self):
+    async def test_one_node_of_a_data_centre_reads_a_table_for_all(self):
         async with EntryDeployment(nodes=4) as entry:
             await asyncio.sleep(1.5)
             before = entry.store.calls_by_table.copy()
             await asyncio.sleep(3.0)
             calls_by_table = entry.store.calls_by_table - before
             assert calls_by_table.keys() == {"op", "servers", "crashes"}
-            # One relay a table and about one call a second of each: 4 nodes alone
-            # would make 12 about each.
+            # One relay per table makes about one call a second. 4 nodes without a relay
+            # would make 12 calls for each table.
             assert max(calls_by_table.values()) <= 4
             entry.store.put("op", "config", configuration(9))
             await until(lambda: all(n.deployments.number == 9 for n in entry.nodes), 1)
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -1,4 +1,4 @@
-"""A request that ends each server which runs it is not sent to ever more servers."""
+"""A request that crashes every server that runs it reaches only a few servers."""
 
 import asyncio
 
@@ -11,20 +11,20 @@
 from support.entry import WHOLE, until
 from support.poison import POISON, EndingServers
 
-# A request under which so many servers have ended is sent to no other one.
-MOST_ENDED = 3
-# What nodes learn of a crash they know within this time.
-KNOWN_S = 0.5
+# A request that has crashed this many servers is sent to no other server.
+MAX_CRASHES = 3
+# Nodes learn of a crash within this time.
+PROPAGATION_S = 0.5
 
 
 class PoisonedDeployment(EndingServers):
-    """Three nodes before four servers of each service, which end under ``POISON``."""
+    """Three nodes and four servers of each service; ``POISON`` crashes a server."""
 
     def __init__(self, nodes=3, servers=4, **options):
         super().__init__(nodes, servers=servers, **options)
 
     async def attempt(self, node, target="/stream/single/x"):
-        """Send the request once more; return status and headers, 0 if it broke off."""
+        """Send the request; return status and headers, 0 if the answer broke off."""
         try:
             status, headers, _ = await self.ask(target, node, body=POISON)
         except aiohttp.ClientError:
@@ -32,10 +32,10 @@
         return status, headers
 
     async def attempts(self, count, target="/stream/single/x"):
-        """Send it again and again, to each node in turn."""
+        """Send the request ``count`` times, to each node in turn."""
         for number in range(count):
             await self.attempt(number % len(self.nodes), target)
-            await asyncio.sleep(KNOWN_S)
+            await asyncio.sleep(PROPAGATION_S)
 
 
 @pytest.fixture
@@ -44,14 +44,16 @@
         yield deployment
 
 
-class TestRequestThatComesAgain:
+class TestRepeatedRequest:
     @pytest.mark.parametrize("target", ["/stream/single/x", "/stream/resumed/x"])
-    async def test_it_ends_three_servers_at_most_over_all_nodes(self, poisoned, target):
+    async def test_it_crashes_at_most_three_servers_over_all_nodes(
+        self, poisoned, target
+    ):
         await poisoned.attempts(12, target)
-        assert 0 < len(poisoned.ended) <= MOST_ENDED
+        assert 0 < len(poisoned.ended) <= MAX_CRASHES
 
-    async def test_what_is_refused_is_refused_at_once_and_has_not_run(self, poisoned):
-        """It is told when to come back, whichever node it reaches."""
+    async def test_it_is_refused_at_once_and_does_not_run(self, poisoned):
+        """Each node refuses it with a Retry-After header."""
         await poisoned.attempts(6)
         runs = len(poisoned.runs("readers"))
         for node in range(3):
@@ -71,53 +73,49 @@
             status, _, body = await poisoned.ask("/stream/single/y", node)
             assert (status, body) == (200, WHOLE)
 
-    async def test_the_store_is_enough_for_nodes_that_reach_no_other_node(
-        self, poisoned
-    ):
+    async def test_nodes_without_peers_learn_of_crashes_from_the_store(self, poisoned):
         for node in poisoned.nodes:
             node.poison.gossip._announce = lambda marks: None
             node.membership.members.reachable = lambda: []
         await poisoned.attempts(8)
-        assert 0 < len(poisoned.ended) <= MOST_ENDED
+        assert 0 < len(poisoned.ended) <= MAX_CRASHES
 
-    async def test_nodes_are_enough_for_one_another_while_the_store_is_down(
+    async def test_nodes_learn_of_crashes_from_peers_if_the_store_is_down(
         self, poisoned
     ):
         poisoned.store.down = True
         await poisoned.attempts(8)
-        assert 0 < len(poisoned.ended) <= MOST_ENDED
+        assert 0 < len(poisoned.ended) <= MAX_CRASHES
 
-    async def test_a_node_that_starts_later_knows_it(self, poisoned):
+    async def test_a_node_that_starts_later_refuses_it(self, poisoned):
         await poisoned.attempts(6)
         ended = len(poisoned.ended)
         node = await poisoned.add_node()
         await until(lambda: node.ready)
-        await asyncio.sleep(KNOWN_S)
+        await asyncio.sleep(PROPAGATION_S)
         await poisoned.attempt(3)
         assert len(poisoned.ended) == ended
 
 
 class TestStages:
-    """A piece of a stage ends the servers that run it, in calls with other pieces."""
+    """A batch item crashes the servers that run it, in calls with other items."""
 
     SEGMENTS = {
         "Eelgrassward_Segments": "2,1,5",
         "Eelgrassward_Segment_Key": POISON.decode(),
     }
 
-    async def test_it_ends_three_servers_of_a_stage_at_most(self, poisoned):
+    async def test_it_crashes_at_most_three_servers_of_a_stage(self, poisoned):
         for number in range(8):
             status, _, _ = await poisoned.ask(
                 "/stream/staged/x", number % 3, **self.SEGMENTS
             )
             assert status == 503
-            await asyncio.sleep(KNOWN_S)
-        assert 0 < len(poisoned.ended) <= MOST_ENDED
+            await asyncio.sleep(PROPAGATION_S)
+        assert 0 < len(poisoned.ended) <= MAX_CRASHES
 
-    async def test_stages_of_a_request_that_is_held_meanwhile_are_not_begun(
-        self, poisoned
-    ):
-        """Other copies of it end the third server while it is on its way."""
+    async def test_no_stage_starts_once_its_request_is_quarantined(self, poisoned):
+        """Other copies of it crash the third server while this copy is in flight."""
         quarantine = poisoned.nodes[0].poison.quarantine
         quarantine.record_crash(
             Fingerprint("another"), ServerIncarnation(BackendId("ended"))
@@ -130,48 +128,50 @@
         assert not any(items)
 
 
-class TestBesideOthers:
-    """Copies of the request come together, among proper requests that are resumed."""
+class TestConcurrentRequests:
+    """Copies of the request arrive together, among normal requests that are resumed."""
 
     COPIES = 3
-    NEIGHBOURS = 24
+    NORMAL_REQUESTS = 24
 
     async def serve(self, deployment, number):
-        """Send a proper request until it is served; return whether it was held."""
-        held = False
+        """Retry a normal request until served; return whether it was quarantined."""
+        quarantined = False
         for _ in range(20):
             try:
                 status, headers, body = await deployment.ask(
                     "/stream/resumed/x", number % 3, body=b"proper %d" % number
                 )
             except aiohttp.ClientError:
-                # Its attempts were used up within a stream.
+                # All its attempts were used up during a stream.
                 continue
             if status == 200:
                 assert body == WHOLE
-                return held
-            held |= b"servers have ended" in body
+                return quarantined
+            quarantined |= b"servers have ended" in body
             await asyncio.sleep(min(0.5, float(headers.get("Retry-After", 0.1))))
-        raise AssertionError(f"request {number} was never served")
+        raise AssertionError(f"request {number} not served after 20 attempts")
 
-    async def poison_for_good(self, deployment, until_s):
+    async def send_copies_repeatedly(self, deployment, until_s):
         loop = asyncio.get_running_loop()
         while loop.time() < until_s:
             copies = (deployment.attempt(node) for node in range(self.COPIES))
             await asyncio.gather(*copies)
             await asyncio.sleep(0.2)
 
-    async def test_those_beside_it_are_served_and_few_servers_end(self):
+    async def test_normal_requests_are_served_and_few_servers_crash(self):
         async with PoisonedDeployment(servers=5, event_s=0.05) as deployment:
             end = asyncio.get_running_loop().time() + 5.0
-            harm = asyncio.create_task(self.poison_for_good(deployment, end))
-            held = []
+            poisoning = asyncio.create_task(
+                self.send_copies_repeatedly(deployment, end)
+            )
+            quarantined = []
             for _ in range(8):
-                sent = (self.serve(deployment, n) for n in range(self.NEIGHBOURS))
-                held += await asyncio.gather(*sent)
-            await harm
-            # Copies that were under way with the one that ended the third server.
-            assert len(deployment.ended) <= MOST_ENDED + self.COPIES - 1
-            assert not any(held)
+                sent = (self.serve(deployment, n) for n in range(self.NORMAL_REQUESTS))
+                quarantined += await asyncio.gather(*sent)
+            await poisoning
+            # Copies in flight as the third server crashes may each crash one more.
+            assert len(deployment.ended) <= MAX_CRASHES + self.COPIES - 1
+            assert not any(quarantined)
             for node in deployment.nodes:
                 assert node.poison.quarantine.quarantined_count() == 1
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of repeats holds for all nodes together, whatever becomes of them."""
+"""All nodes together keep the retry budget, also when nodes leave or restart."""
 
 from collections import Counter
 
@@ -8,8 +8,8 @@
 REQUESTS = 40
 
 
-class TestRepeatsOfAllNodes:
-    # Guards against shares of the budget that grow as other nodes leave.
+class TestRetriesOfAllNodes:
+    # Guards against a node's share of the budget that grows as other nodes leave.
     async def test_they_keep_the_budget_while_nodes_leave_in_turn(self):
         async with FailingServersDeployment(NODES) as deployment:
             for number in range(NODES):
@@ -17,7 +17,7 @@
                 await deployment.nodes[number].membership.leave()
             assert deployment.excess() <= 0
 
-    # Guards against a process that spends anew what the one before it has spent.
+    # Guards against a restarted process that spends the budget its predecessor spent.
     async def test_they_keep_the_budget_while_nodes_are_restarted(self):
         async with FailingServersDeployment(NODES) as deployment:
             for _ in range(2):
@@ -27,9 +27,9 @@
             assert deployment.excess() <= 0
 
 
-class TestPieces:
-    # Guards against lost pieces that are counted one by one, and asked for by the set.
-    async def test_each_piece_of_a_stage_counts_as_a_request(self, entry):
+class TestBatchItems:
+    # Guards against retries counted per batch item while requests count per item set.
+    async def test_each_batch_item_of_a_stage_counts_as_a_request(self, entry):
         counts_by_service = Counter()
         for node in entry.nodes:
             node.retries.record_requests = lambda service, count=1: (
--- a/tests/test_users_platform.py
+++ b/tests/test_users_platform.py
@@ -1,4 +1,4 @@
-"""Entry nodes before small stand-ins of the users' platform, with faults."""
+"""Entry nodes against small stand-ins of the users' platform, with faults."""
 
 import asyncio
 import time
@@ -23,13 +23,13 @@
 
 
 def fault(deployment, service, *faults):
-    """Let the next calls to the servers of a service fail, whichever gets them."""
+    """Make the next calls to a service fail, whichever of its servers gets them."""
     shared = list(faults)
     for engine in deployment.engines_by_service[service]:
         engine.faults = shared
 
 
-class TestPassingOn:
+class TestForwarding:
     async def test_request_and_answer_are_unchanged(self, entry):
         target = "/safe/a%2fb/../c?q=%20x&y="
         status, headers, body = await entry.ask(target, X_Other="1", body=b"\x00\xff")
@@ -43,7 +43,7 @@
         assert "Authorization" not in run.headers
         assert int(run.headers["Eelgrassward-Deadline-Ms"]) <= 3000
 
-    async def test_what_the_client_library_would_add_is_not_sent(self, entry):
+    async def test_default_headers_of_the_client_library_are_not_sent(self, entry):
         await entry.ask("/safe/x", method="GET")
         [run] = entry.runs("desk")
         assert run.method == "GET" and run.body == b""
@@ -55,7 +55,7 @@
         ("target", "key", "expected"),
         [("/none/x", KEY, 404), ("/safe/x", "wrong", 401), ("/safe", KEY, 404)],
     )
-    async def test_what_is_not_allowed_reaches_no_server(
+    async def test_a_refused_request_reaches_no_server(
         self, entry, target, key, expected
     ):
         status, _, _ = await entry.ask(target, Authorization=f"Bearer {key}")
@@ -96,19 +96,19 @@
         assert entry.runs("desk") == []
 
 
-class TestLives:
-    """A server starts again under its id; it counts its results anew."""
+class TestIncarnations:
+    """A server restarts under its id and numbers its results from the start again."""
 
     @pytest.fixture(autouse=True)
-    def prompt_news(self, monkeypatch):
+    def fast_updates(self, monkeypatch):
         monkeypatch.setattr(platform_tables, "SERVERS_FEED_DELAY_S", 0.01)
         monkeypatch.setattr(table_relay, "MEMBERSHIP_SETTLE_S", 0.01)
 
-    async def test_results_of_the_earlier_life_are_made_again(self, entry):
-        """A handle of the earlier life names another request's result by now."""
+    async def test_results_of_the_earlier_incarnation_are_recomputed(self, entry):
+        """After the restart, the old handle refers to another request's result."""
         portal = entry.engines_by_service["portal"]
         clerks = entry.engines_by_service["clerks"]
-        # They have no room until the news of the new lives has come.
+        # The clerks refuse calls until the nodes know the new incarnations.
         fault(entry, "clerks", *[EngineFault.REFUSE] * 2)
         asking = asyncio.create_task(
             entry.ask("/stream/staged/x", request_id="first", **SEGMENTS)
@@ -125,7 +125,9 @@
             used = [made[handle] for handle in item["Inputs"]]
             assert [(u["Id"], u["Phase"]) for u in used] == [(item["Id"], 1)]
 
-    async def test_a_stream_of_the_earlier_life_goes_on_elsewhere(self, entry):
+    async def test_a_stream_of_the_earlier_incarnation_is_resumed_elsewhere(
+        self, entry
+    ):
         for engine in entry.engines_by_service["readers"]:
             engine.event_s = 0.2
         asking = asyncio.create_task(entry.ask("/stream/resumed/x"))
@@ -137,7 +139,7 @@
         assert (status, body) == (200, WHOLE)
         assert len(entry.runs("readers")) == 2
 
-    async def test_entries_that_cannot_be_read_leave_the_others(self, entry):
+    async def test_unreadable_entries_do_not_affect_the_others(self, entry):
         for key, value in (("x1", b"\xff\x00"), ("x2", b'{"Service": 1}'), ("x3", b"")):
             entry.store.put_raw("servers", key, value)
         status, _, _ = await entry.ask("/safe/x")
@@ -145,13 +147,15 @@
         assert len(entry.nodes[0].backends.by_id) == 8
 
 
-class TestRepeats:
-    async def test_an_idempotent_request_is_repeated_elsewhere(self, entry):
+class TestRetries:
+    async def test_an_idempotent_request_is_retried_elsewhere(self, entry):
         fault(entry, "desk", EngineFault.CUT_BEFORE_HEAD)
         status, _, _ = await entry.ask("/safe/x")
         assert status == 200
 
-    async def test_a_failed_one_is_repeated_once_and_its_answer_kept(self, entry):
+    async def test_a_failed_request_is_retried_once_and_its_answer_passed_on(
+        self, entry
+    ):
         fault(entry, "desk", EngineFault.ERROR, EngineFault.ERROR)
         status, headers, body = await entry.ask("/safe/x")
         assert (status, body) == (500, b"failed")
@@ -162,38 +166,38 @@
         "kind",
         [EngineFault.CUT_BEFORE_HEAD, EngineFault.OTHER_ID, EngineFault.UNSIGNED],
     )
-    async def test_one_that_may_have_run_is_not_sent_again(self, entry, kind):
+    async def test_a_request_that_may_have_run_is_not_retried(self, entry, kind):
         fault(entry, "desk", kind)
         status, _, _ = await entry.ask("/once/x")
         assert status == 502
         assert len(entry.runs("desk")) == 1
 
-    async def test_one_that_surely_did_not_run_is_sent_elsewhere(self, entry):
+    async def test_a_request_that_did_not_run_is_sent_elsewhere(self, entry):
         entry.engines_by_service["desk"][0].faults = [EngineFault.REFUSE] * 9
         for number in range(4):
             status, _, _ = await entry.ask("/once/x", request_id=f"once-{number}")
             assert status == 200
         assert len(entry.runs("desk")) == 4
 
-    async def test_a_refusal_says_when_to_come_back_and_is_true(self, entry):
+    async def test_a_refusal_has_retry_after_and_nothing_ran(self, entry):
         fault(entry, "desk", *[EngineFault.REFUSE] * 9)
         status, headers, _ = await entry.ask("/once/x")
         assert status == 503
         assert float(headers["Retry-After"]) > 0
         assert entry.runs("desk") == []
 
-    async def test_an_answer_that_does_not_come_ends_with_the_deadline(self, entry):
+    async def test_a_missing_answer_times_out_at_the_deadline(self, entry):
         fault(entry, "desk", EngineFault.HANG)
         began = asyncio.get_running_loop().time()
         status, _, _ = await entry.ask("/once/x", Eelgrassward_Deadline_Ms="400")
         assert status == 504
         assert asyncio.get_running_loop().time() - began < 0.6
         assert len(entry.runs("desk")) == 1
-        # That a deadline passes says nothing against the server.
+        # A passed deadline does not make the server suspected.
         servers = entry.nodes[0].backends.by_id.values()
         assert all(server.suspect_until == 0.0 for server in servers)
 
-    async def test_a_server_whose_address_another_has_is_left(self, entry):
+    async def test_a_server_with_another_id_at_its_address_is_not_used(self, entry):
         first = entry.engines_by_service["desk"][0]
         first.server_id = "another"
         for _ in range(4):
@@ -206,23 +210,23 @@
 
 
 class TestStreams:
-    async def test_events_are_passed_on(self, entry):
+    async def test_events_are_forwarded(self, entry):
         status, headers, body = await entry.ask("/stream/resumed/x")
         assert (status, body) == (200, WHOLE)
         assert headers["Content-Type"] == "text/event-stream"
 
-    async def test_a_broken_stream_goes_on_elsewhere(self, entry):
+    async def test_a_broken_stream_is_resumed_elsewhere(self, entry):
         fault(entry, "readers", EngineFault.CUT_IN_EVENT)
         status, _, body = await entry.ask("/stream/resumed/x")
         assert (status, body) == (200, WHOLE)
 
-    async def test_one_that_may_not_be_resumed_does_not_look_complete(self, entry):
+    async def test_a_broken_stream_without_resume_does_not_look_complete(self, entry):
         fault(entry, "readers", EngineFault.CUT_IN_EVENT)
         with pytest.raises(Exception, match="not completed|payload"):
             await entry.ask("/stream/single/x")
         assert len(entry.runs("readers")) == 1
 
-    async def test_a_caller_that_leaves_stops_the_engine(self):
+    async def test_a_caller_that_disconnects_cancels_the_request(self):
         async with EntryDeployment(event_s=0.2) as entry:
             call = asyncio.create_task(entry.ask("/stream/resumed/x"))
             await until(lambda: entry.runs("readers"))
@@ -230,8 +234,8 @@
             engines = entry.engines_by_service["readers"]
             await until(lambda: sum(e.cancelled for e in engines) == 1, 0.5)
 
-    async def test_a_caller_that_leaves_is_logged_with_where_it_was(self):
-        left = "requests: The caller left."
+    async def test_a_caller_that_disconnects_is_logged_with_the_step(self):
+        sentence = "requests: The caller left."
         with log_lines() as lines:
             async with EntryDeployment(event_s=0.2) as entry:
                 call = asyncio.create_task(
@@ -240,13 +244,13 @@
                 await until(lambda: entry.runs("readers"))
                 await asyncio.sleep(0.05)
                 call.cancel()
-                await until(lambda: any(li.get("message") == left for li in lines))
-        found = [li for li in lines if li.get("message") == left]
+                await until(lambda: any(li.get("message") == sentence for li in lines))
+        found = [li for li in lines if li.get("message") == sentence]
         assert [(li["id"], li["at"]) for li in found] == [("leaves", "answer")]
 
 
-class TestComingBack:
-    async def test_the_time_to_come_back_fits_in_what_the_caller_has_left(self, entry):
+class TestRetryAfter:
+    async def test_retry_after_fits_in_the_time_the_caller_has_left(self, entry):
         for engine in entry.engines_by_service["portal"]:
             entry.store.remove("servers", engine.server_id)
         portal = [e.server_id for e in entry.engines_by_service["portal"]]
@@ -260,7 +264,7 @@
 
 
 class TestStages:
-    async def test_each_piece_is_made_once_and_freed(self, entry):
+    async def test_each_item_runs_once_and_its_result_is_freed(self, entry):
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
         assert (status, body) == (200, WHOLE)
         made = {service: self.items(entry, service) for service in ("portal", "clerks")}
@@ -270,7 +274,7 @@
         assert len(run.headers["Eelgrassward-Inputs"].split(",")) == 7
         await until(lambda: not self.results(entry))
 
-    async def test_pieces_of_many_requests_share_calls(self, entry):
+    async def test_items_of_many_requests_share_calls(self, entry):
         asks = [
             entry.ask("/stream/staged/x", node=n % 2, **SEGMENTS) for n in range(20)
         ]
@@ -280,11 +284,10 @@
         assert sum(len(e.batch_items) for e in engines) == 100
         assert sum(e.calls for e in engines) < 50
 
-    # A process that stood still took answers it had not read for silence.
+    # Guards against a stalled process that treats answers it has not read yet as
+    # missing.
     @pytest.mark.parametrize("stall_s", [0.3, 0.6])
-    async def test_a_stall_makes_no_piece_twice_and_refuses_nobody(
-        self, entry, stall_s
-    ):
+    async def test_a_stall_repeats_no_item_and_refuses_no_request(self, entry, stall_s):
         for engine in entry.engines_by_service["clerks"]:
             asking_all = [
                 asyncio.create_task(entry.ask("/stream/staged/x", node=n, **SEGMENTS))
@@ -296,8 +299,8 @@
             assert [answer[0] for answer in answers] == [200] * 4
         assert len(self.items(entry, "clerks")) == 40
 
-    async def test_results_are_kept_until_the_request_has_gone_out(self, entry):
-        """A connection that never comes about makes no piece anew."""
+    async def test_results_are_kept_until_the_request_has_been_sent(self, entry):
+        """A connection that is never established makes no batch item run again."""
         with hanging_listener() as address:
             engine = entry.engines_by_service["readers"][0]
             entry.list_engine("readers", engine, address=address)
@@ -307,37 +310,38 @@
         assert all(answer[0] == 200 for answer in answers)
         assert len(self.items(entry, "clerks")) == 20
 
-    async def test_results_that_are_gone_are_made_again(self, entry):
+    async def test_missing_results_are_recomputed(self, entry):
         fault(entry, "readers", EngineFault.FORGET_RESULTS)
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
         assert (status, body) == (200, WHOLE)
 
-    async def test_inputs_that_are_gone_are_made_again(self, entry):
+    async def test_missing_inputs_are_recomputed(self, entry):
         fault(entry, "clerks", EngineFault.FORGET_RESULTS)
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
         assert (status, body) == (200, WHOLE)
 
-    async def test_a_failed_piece_is_made_again(self, entry):
+    async def test_a_failed_item_is_run_again(self, entry):
         fault(entry, "portal", EngineFault.ERROR)
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
         assert (status, body) == (200, WHOLE)
 
-    async def test_an_owner_without_servers_takes_no_pieces(self, entry):
-        """One that has just started is a member before it has read the list."""
+    async def test_an_owner_without_servers_takes_no_items(self, entry):
+        """A node that has just started is a member before it reads the server list."""
         entry.nodes[1].backends.update([])
         for _ in range(3):
             status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
             assert (status, body) == (200, WHOLE)
 
-    async def test_a_dead_owner_of_the_queue_costs_little(self, entry):
+    async def test_a_dead_queue_owner_costs_less_than_one_second(self, entry):
         await entry.nodes[1].close()
         began = asyncio.get_running_loop().time()
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
         assert (status, body) == (200, WHOLE)
         assert asyncio.get_running_loop().time() - began < 1.0
 
-    # A queue whose owner was passed over took its servers for full for seconds.
-    async def test_results_freed_past_their_owner_make_room_for_others(
+    # Guards against a queue owner that counts its servers as full for seconds, after
+    # another node has freed their results without it.
+    async def test_results_freed_without_their_owner_make_room(
         self, entry, monkeypatch
     ):
         monkeypatch.setattr(request_execution, "RESULT_FETCH_S", 0.3)
--- a/tests/test_whole_answers.py
+++ b/tests/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""A caller gets the whole answer to its own request, whatever the stream does."""
+"""A caller gets the complete answer to its own request even if the stream fails."""
 
 import asyncio
 import random
@@ -49,7 +49,7 @@
     assert violations(recorded.calls, deployment.journal()) == []
 
 
-async def undisturbed_text(history, deployment):
+async def text_without_faults(history, deployment):
     reply = await history.call(deployment, 0, "revision-check", "text")
     return reply.body["output"]["text"]
 
@@ -57,8 +57,10 @@
 class TestStreams:
     @pytest.mark.parametrize("name", STREAM_FAULTS)
     @pytest.mark.parametrize("stream", [False, True])
-    async def test_a_broken_stream_is_joined(self, deployment, history, name, stream):
-        expected = await undisturbed_text(history, deployment)
+    async def test_the_answer_is_complete_after_a_stream_fault(
+        self, deployment, history, name, stream
+    ):
+        expected = await text_without_faults(history, deployment)
         deployment.fault("model-readers", STREAM_FAULTS[name])
         reply = await history.call(
             deployment, 0, "revision-check", "text", stream=stream
@@ -67,7 +69,7 @@
         answer = reply.body[-1]["answer"] if stream else reply.body
         assert answer["output"]["text"] == expected
 
-    async def test_an_answer_that_stays_incomplete_says_so(self, deployment, history):
+    async def test_an_answer_that_stays_incomplete_is_marked(self, deployment, history):
         fault = Fault(Action.CUT_STREAM, GENERATE, after=1)
         deployment.fault("model-readers", fault)
         reply = await history.call(
@@ -104,5 +106,5 @@
         replies, _ = await asyncio.gather(
             asyncio.gather(*(call(number) for number in range(60))), disturb()
         )
-        whole = sum(reply is not None and reply.status == 200 for reply in replies)
-        assert whole >= 57, [r for r in replies if r is None or r.status != 200]
+        complete = sum(reply is not None and reply.status == 200 for reply in replies)
+        assert complete >= 57, [r for r in replies if r is None or r.status != 200]
