--- a/tests/test_faults_together.py
+++ b/tests/test_faults_together.py
@@ -1,6 +1,6 @@
-"""Concurrent runs with faults together and twice, checked by their histories.
+"""Runs concurrent calls under combined and repeated faults and checks their history.
 
-``make soak`` runs more seeds: ``EELGRASS_SOAK_SEEDS`` says how many.
+``make soak`` runs more seeds: ``EELGRASS_SOAK_SEEDS`` sets how many.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
 
 
 class Run:
-    """One run from a seed."""
+    """One run, whose calls and faults are drawn from a seed."""
 
     def __init__(self, deployment, seed):
         self._deployment = deployment
@@ -51,11 +51,11 @@
         self.history = History()
 
     async def call_all(self):
-        """Make all calls; keyed ones are repeated at other nodes."""
+        """Make all calls; keyed calls are retried at other nodes."""
         await asyncio.gather(*(self._call(number) for number in range(CALLS)))
 
     async def disturb(self):
-        """Change the faults several times a second, several at once."""
+        """Change the faults several times a second; several are active at once."""
         while True:
             self._deployment.fault("platform", *self._random.choice(PLATFORM_FAULTS))
             for service in self._random.sample(SERVICES, 2):
@@ -119,5 +119,5 @@
             call.reply is not None and call.reply.status == 200
             for call in run.history.calls
         )
-        print(f"{answered} of {len(run.history.calls)} calls answered whole")
+        print(f"{answered} of {len(run.history.calls)} calls answered completely")
         assert answered > CALLS / 3
--- a/tests/test_killed_and_paused.py
+++ b/tests/test_killed_and_paused.py
@@ -15,7 +15,7 @@
 
 COMMIT = "/v1/transactions"
 SLOW = Fault(Action.DELAY, "/v1/run", delay_s=0.6)
-# Longer than it takes to pause a node on a machine that is shared.
+# Longer than it takes to pause a node on a shared host.
 VERY_SLOW = Fault(Action.DELAY, "/v1/run", delay_s=2.0)
 
 
@@ -49,7 +49,7 @@
 
 
 async def until_claimed(deployment, key):
-    """Wait until a node has registered a keyed request, and sends it at once."""
+    """Wait until the claim is stored; the node sends the request right after that."""
 
     async def is_claimed():
         claims = await deployment.client.operate(deployment.internal(1), "claims")
@@ -79,12 +79,12 @@
         reply = await history.call(deployment, 0, "transmittal", "killed", key="killed")
         assert reply.outcome == "unknown"
         await set_faults(deployment, "register-desk")
-        # The service begins the run only after its delay, which may be later
-        # than a node needs to start again.
+        # The server starts the run only after its delay, possibly after the node has
+        # restarted.
         await asyncio.sleep(SLOW.delay_s)
         assert await runs(deployment, "killed") == 1
 
-    async def test_an_operator_finds_and_resolves_it(self, deployment):
+    async def test_an_operator_finds_and_resolves_the_claim(self, deployment):
         claims = await deployment.client.operate(deployment.internal(1), "claims")
         assert [claim["key"] for claim in claims] == ["killed"]
         resolution = {
@@ -114,7 +114,7 @@
         assert await runs(deployment, "early") == 0
         await restart(deployment, 0)
 
-    async def test_killed_before_the_end_is_stored(self, deployment, history):
+    async def test_killed_before_the_outcome_is_stored(self, deployment, history):
         await set_faults(deployment, "register-desk", SLOW)
         call = asyncio.create_task(
             history.call(deployment, 0, "transmittal", "late", key="late")
@@ -133,7 +133,7 @@
 
 
 class TestPausedNode:
-    async def test_paused_past_the_deadline_it_dispatches_nothing(
+    async def test_paused_past_the_deadline_dispatches_nothing(
         self, deployment, history
     ):
         await set_faults(
@@ -156,13 +156,13 @@
         assert reply.status != 200
         assert await runs(deployment, "paused") == 0
 
-        async def runs_at_last():
-            again = await history.call(
+        async def is_answered():
+            repeat = await history.call(
                 deployment, 1, "transmittal", "paused", key="paused"
             )
-            return again.status == 200
+            return repeat.status == 200
 
-        await until(runs_at_last)
+        await until(is_answered)
         assert await runs(deployment, "paused") == 1
 
     async def test_paused_while_the_service_runs(self, deployment, history):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -26,18 +26,18 @@
 
 
 class TestHostList:
-    async def test_its_reads_do_not_grow_with_nodes(self, deployment):
+    async def test_its_reads_do_not_grow_with_the_number_of_nodes(self, deployment):
         counts = deployment.stand_ins.platform.call_counts
         before = counts["/v1/hosts"]
         await asyncio.sleep(2.0)
         pollers, others = 4, 2
-        turns = 2.0 / 0.1
-        most = pollers * turns + others * (turns / 10 + 1)
-        assert counts["/v1/hosts"] - before <= most
+        intervals = 2.0 / 0.1
+        max_reads = pollers * intervals + others * (intervals / 10 + 1)
+        assert counts["/v1/hosts"] - before <= max_reads
 
 
 async def load(deployment, nodes, until):
-    """Call the nodes in turn; return the replies that were not whole answers."""
+    """Call the nodes in turn; return the replies with a status other than 200."""
     bad = []
     number = 0
     while time.monotonic() < until:
@@ -52,24 +52,26 @@
     return bad
 
 
-def leaver(deployment):
+def leaving_server(deployment):
     return deployment.stand_ins.backends_by_id["archive-index-1"]
 
 
 class TestChoice:
-    async def test_a_server_that_was_slow_is_tried_again(self, deployment):
+    async def test_a_server_that_was_slow_gets_calls_again(self, deployment):
         backends = deployment.nodes[0].backends
         slow = backends.by_id["archive-index-1"]
         slow.record_call(30.0)
         slow._called_at -= 120.0
         await load(deployment, [0], time.monotonic() + 1.0)
-        assert leaver(deployment).journal.entries
+        assert leaving_server(deployment).journal.entries
 
 
 class TestLeavingBackend:
     @pytest.mark.parametrize("refuses", [True, False])
-    async def test_its_own_word_reaches_every_node(self, deployment, refuses):
-        server = leaver(deployment)
+    async def test_every_node_learns_it_from_the_server_itself(
+        self, deployment, refuses
+    ):
+        server = leaving_server(deployment)
         server.refuses_when_leaving = refuses
         server.leaving = True
         left_at = time.monotonic()
@@ -79,8 +81,8 @@
         assert late == []
         assert deployment.count("retry.backend_leaving") <= 6
 
-    async def test_a_node_that_never_called_it_knows_it_too(self, deployment):
-        server = leaver(deployment)
+    async def test_a_node_that_never_called_it_sends_it_no_work(self, deployment):
+        server = leaving_server(deployment)
         server.refuses_when_leaving = False
         server.leaving = True
         await load(deployment, [0], time.monotonic() + 0.5)
@@ -90,12 +92,12 @@
         assert await load(deployment, range(1, 6), time.monotonic() + 1.0) == []
         assert len(server.journal.entries) == started
 
-    async def test_a_node_that_starts_later_knows_it_too(self, deployment):
-        server = leaver(deployment)
+    async def test_a_node_that_starts_later_sends_it_no_work(self, deployment):
+        server = leaving_server(deployment)
         server.refuses_when_leaving = False
         server.leaving = True
         await load(deployment, [0], time.monotonic() + 0.5)
-        # Long enough for the mark to have been sent for the last time.
+        # Long enough for the last transmission of the gossip item.
         await asyncio.sleep(3.0)
         await deployment.nodes[5].close()
         await deployment.start_node(5)
@@ -105,7 +107,7 @@
         assert len(server.journal.entries) == started
 
     async def test_a_successor_under_the_same_name_gets_work(self, deployment):
-        server = leaver(deployment)
+        server = leaving_server(deployment)
         server.leaving = True
         await load(deployment, [0], time.monotonic() + 0.5)
         server.leaving = False
@@ -115,8 +117,8 @@
                 entry["started"] = 2
         deployment.stand_ins.platform._host_lag_s = 0.0
         deployment.stand_ins.platform.set_hosts(hosts)
-        # A node that is no poller of its data centre reads the list at every
-        # tenth interval, here of some 0.25 s (2 kB at 8 kB a second).
+        # A node that is not a poller of its data centre reads the list at every
+        # tenth interval; an interval is some 0.25 s here (2 kB at 8 kB/s).
         known = deployment.nodes[0].backends.by_id
         async with asyncio.timeout(LIST_S):
             while known["archive-index-1"].entry.started != 2:  # noqa: ASYNC110
@@ -126,8 +128,8 @@
         assert len(server.journal.entries) > before
 
     @pytest.mark.parametrize("deployment", [1.0], indirect=True)
-    async def test_the_host_list_alone_suffices(self, deployment):
-        server = leaver(deployment)
+    async def test_every_node_learns_it_from_the_host_list(self, deployment):
+        server = leaving_server(deployment)
         hosts = [b.host_entry() for b in deployment.stand_ins.spec.backends]
         for entry in hosts:
             if entry["id"] == "archive-index-1":
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -19,7 +19,7 @@
 
 
 class Partition:
-    """Blocks traffic between one data centre and the others with the platform."""
+    """Blocks traffic of one data centre with the others and the platform."""
 
     def __init__(self, deployment):
         self._deployment = deployment
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops under load cut nothing off: nodes one by one, backend servers too."""
+"""Planned stops of nodes, one by one, and of servers under load cut off no request."""
 
 import asyncio
 import signal
@@ -15,7 +15,8 @@
 pytestmark = [pytest.mark.processes, pytest.mark.asyncio(loop_scope="module")]
 
 HEALTH_POLL_S = 0.1
-# How long a stopping node still serves; the balancer must have heard of it by then.
+# How long a stopping node still accepts requests; the balancer has to see its failing
+# health check within this time.
 NOTICE_MS = 2000
 
 
@@ -31,7 +32,7 @@
 
 
 class Balancer:
-    """Sends calls to the nodes that were healthy when last asked."""
+    """Sends calls to the nodes that were healthy at their last check."""
 
     def __init__(self, deployment, history):
         self._deployment = deployment
@@ -55,7 +56,7 @@
             await self._history.call(self._deployment, node, pipeline, token, key=key)
 
     async def run(self, work):
-        """Keep up the load while ``work`` is done."""
+        """Generate load while ``work`` runs, and for 0.5 s before and after it."""
         watching = asyncio.create_task(self.watch())
         await asyncio.sleep(2 * HEALTH_POLL_S)
         loads = [asyncio.create_task(self.load(worker)) for worker in range(6)]
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""The program of the users' platform as a process of its own."""
+"""Runs the entry node for the users' platform as a separate process."""
 
 import asyncio
 import json
@@ -89,7 +89,7 @@
         assert "configuration: A version is in force." in sentences
         assert sentences[-1] == "node: Stopped."
 
-    async def test_wrong_settings_end_it_with_a_remedy(self, tmp_path):
+    async def test_invalid_settings_end_it_with_a_remedy(self, tmp_path):
         file = tmp_path / "local.yaml"
         file.write_text("NodeName: 3")
         process = await asyncio.create_subprocess_exec(
@@ -105,8 +105,11 @@
 
 
 class TestSignals:
-    def test_a_reload_while_it_starts_does_not_end_it(self, monkeypatch):
-        """Found by the soak: its libraries take half a second to load."""
+    def test_a_reload_during_the_start_does_not_end_the_process(self, monkeypatch):
+        """SIGHUP must not end the process while its libraries load, for half a second.
+
+        The soak test found this fault.
+        """
         seen = []
 
         class Loading(types.ModuleType):
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -1,7 +1,7 @@
-"""The platform's program under faults from outside, drawn from a seed.
+"""Runs entry nodes of the users' platform under external faults drawn from a seed.
 
-``make soak`` runs more seeds: ``EELGRASS_SOAK_SEEDS`` says how many, and
-``EELGRASS_SOAK_FIRST`` where they begin. Seeds that ever failed stay below.
+``make soak`` runs more seeds: ``EELGRASS_SOAK_SEEDS`` sets how many, and
+``EELGRASS_SOAK_FIRST`` the first one. Seeds that failed once are kept in ``FAILED``.
 """
 
 import os
@@ -14,30 +14,30 @@
 
 FIRST = int(os.environ.get("EELGRASS_SOAK_FIRST", "3"))
 COUNT = int(os.environ.get("EELGRASS_SOAK_SEEDS", "2"))
-# Seed and cause of each run that ever broke a promise.
+# Seed and cause of each run that once violated a guarantee.
 FAILED = {
-    1: "SIGHUP ended a process whose libraries were loading",
-    10: "a cancellation was lost with a timeout, so a stop did not end",
+    1: "SIGHUP ended a process that was still loading its libraries",
+    10: "a cancellation was lost in a timeout, so a stop never completed",
 }
 SEEDS = sorted({*FAILED, *range(FIRST, FIRST + COUNT)})
 RUN_S = 8.0
-# Long enough for several versions, each of which is looked at 3 s after it was put.
+# Long enough for several versions; each is checked 3 s after it was stored.
 NEWS_S = 20.0
 PLANNED_EVERY = 4
 
 
 def least_served(planned):
-    """Return the share of accepted calls that are answered whole at the least.
+    """Return the minimum share of accepted calls that are answered completely.
 
-    It shows that a run is not empty. What each call may end in is checked call by
-    call; nodes that stop refuse what still comes (503), and all three may stop at
-    once.
+    The minimum ensures that a run tests something; the outcome of each call is checked
+    separately. Nodes that are stopping refuse new calls (503), and all three may stop
+    at once.
     """
     return 0.9 if planned else 0.5
 
 
 async def broken_in(folder, seed, harm, run_s, troubles):
-    """Run a seed; return what was broken, with what was done."""
+    """Run a seed, assert no violation; return the soak and the share answered."""
     async with SoakDeployment(folder, seed) as deployment:
         soak = Soak(deployment, seed, harm)
         await soak.run(run_s, troubles)
@@ -45,8 +45,8 @@
     accepted = [call for call in soak.calls if call.accepted]
     whole = sum(call.status == 200 for call in accepted)
     print(
-        f"seed {seed}: {whole} of {len(accepted)} accepted calls answered whole, "
-        f"{len(soak.probes)} looks at the version in force"
+        f"seed {seed}: {whole} of {len(accepted)} accepted calls answered completely, "
+        f"{len(soak.probes)} checks of the version in force"
     )
     assert broken == [], "\n".join([f"seed {seed}", *broken, *soak.log])
     return soak, whole / len(accepted)
@@ -63,10 +63,10 @@
 
     @pytest.mark.parametrize("seed", range(FIRST, FIRST + COUNT))
     async def test_news_come_in_time(self, seed, tmp_path):
-        """The store alone is harmed, so that nodes are calm long enough to be judged.
+        """Only the store gets faults, so nodes run undisturbed long enough to check.
 
-        A configuration was once in force 4 s late where the store had turned away
-        the node that read it for the others.
+        A configuration was once in force 4 s late because the store had rejected the
+        relay, the node that reads it for the others.
         """
         soak, served = await broken_in(tmp_path, seed, Harm.NEWS, NEWS_S, 1)
         assert served >= least_served(planned=True)
--- a/tests/test_poison_soak.py
+++ b/tests/test_poison_soak.py
@@ -1,6 +1,7 @@
-"""A request that ends its servers, while nodes, ways and the store are harmed.
+"""A request that crashes servers, with faults of nodes, network paths and the store.
 
-``EELGRASS_SOAK_SEEDS`` and ``EELGRASS_SOAK_FIRST`` choose the seeds, as in the soak.
+``EELGRASS_SOAK_SEEDS`` and ``EELGRASS_SOAK_FIRST`` select the seeds, as in
+``test_platform_soak.py``.
 """
 
 import asyncio
@@ -19,29 +20,29 @@
 RUN_S = 16.0
 KINDS = ("stream/single", "stream/resumed")
 MOST_COPIES = 3
-# Once so many servers have ended, nodes that nothing has harmed for this long send the
-# request to this many servers more at the most.
+# Once ENDED servers have crashed, nodes that had no fault for CALM_S send the request
+# to at most MOST_SENT more servers.
 ENDED = 3
 CALM_S = 3.0
 MOST_SENT = 3
 
 
 class PoisonedSoak(EndingServers, SoakDeployment):
-    """Nodes as processes before five servers of each service."""
+    """Nodes as processes, with five servers of each service."""
 
     def __init__(self, folder, seed):
         super().__init__(folder, seed, servers=5)
 
 
 class Attempts:
-    """Sends the request in copies, again and again, as drawn from a seed."""
+    """Sends copies of the request; times, copies and nodes are drawn from a seed."""
 
     def __init__(self, deployment, seed):
         self._deployment = deployment
         self._random = random.Random(f"poison of {seed}")
         self._kind = self._random.choice(KINDS)
         self._tasks = []
-        # Attempts at nodes that had been calm for long enough.
+        # Attempts at nodes that had no fault from CALM_S before the attempt to its end.
         self.calm_ids = set()
 
     async def run(self, seconds):
@@ -63,7 +64,7 @@
             self.calm_ids.add(call.request_id)
 
     def sent_late(self):
-        """Return the ids of calm attempts that reached servers too late."""
+        """Return the ids of calm attempts that reached a server after the bound."""
         ended_at = sorted(self._deployment.ended_at)
         if len(ended_at) < ENDED:
             return []
@@ -89,7 +90,7 @@
             late = attempts.sent_late()
             broken = violations(soak, deployment)
         print(
-            f"seed {seed} {harm.value}: {len(deployment.ended)} servers ended, "
+            f"seed {seed} {harm.value}: {len(deployment.ended)} servers crashed, "
             f"{len(late)} sent late of {len(attempts.calm_ids)} calm attempts"
         )
         assert len(late) <= MOST_SENT, "\n".join([f"seed {seed}", *late, *soak.log])
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes: platform, backend servers, three nodes."""
+"""End to end, as separate processes: platform, backend servers and three nodes."""
 
 import signal
 
@@ -36,10 +36,10 @@
         reply = await deployment.client.call(
             deployment.callers(1), "revision-check", "a stream", stream=True
         )
-        *pieces, final = reply.body
-        assert [piece["seq"] for piece in pieces] == list(range(16))
+        *chunks, final = reply.body
+        assert [chunk["seq"] for chunk in chunks] == list(range(16))
         assert final["final"] and final["complete"] and final["count"] == 16
-        text = "".join(piece["text"] for piece in pieces)
+        text = "".join(chunk["text"] for chunk in chunks)
         assert final["answer"]["output"]["text"] == text
 
     async def test_a_key_runs_once_wherever_it_arrives(self, deployment):
