--- a/benchmarks/hop_cost.py
+++ b/benchmarks/hop_cost.py
@@ -19,7 +19,11 @@
 import msgspec
 
 from eelgrass_standins.ports import free_addresses
-from eelgrass_standins.samples import ACCOUNT_KEY, association, sample_configuration
+from eelgrass_standins.samples import (
+    ACCOUNT_KEY,
+    sample_configuration,
+    sample_deployment,
+)
 from support.processes import ProcessDeployment
 
 REQUESTS = 3000
@@ -113,7 +117,7 @@
 
 async def main() -> None:
     """Run all measurements."""
-    spec = association(engines=1, pool_size=1, work=0.0, step_ms=0.5)
+    spec = sample_deployment(engines=1, pool_size=1, work=0.0, step_ms=0.5)
     with tempfile.TemporaryDirectory() as folder:
         deployment = ProcessDeployment(
             spec, Path(folder), nodes=1, configuration=benchmark_configuration()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -26,7 +26,7 @@
     drive,
     summarise,
 )
-from eelgrass_standins.samples import association, sample_configuration
+from eelgrass_standins.samples import sample_configuration, sample_deployment
 from support.processes import ProcessDeployment
 
 CALLERS = (
@@ -89,7 +89,7 @@
     policy: dict[str, Any], scenario: Scenario, planned: Sequence[Arrival]
 ) -> dict[str, Any]:
     """Run one policy on one set of arrivals; return the results."""
-    spec = association(engines=ENGINES, pool_size=2, step_ms=STEP_MS)
+    spec = sample_deployment(engines=ENGINES, pool_size=2, step_ms=STEP_MS)
     backends = tuple(
         msgspec.structs.replace(b, limit=ENGINE_LIMIT)
         if b.service == "model-readers"
--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -7,7 +7,7 @@
 import asyncio
 import time
 
-from eelgrass_standins.samples import DATA_CENTRES, association
+from eelgrass_standins.samples import DATA_CENTRES, sample_deployment
 from processor_time import cpu_s
 from support.local import LocalDeployment
 
@@ -33,7 +33,7 @@
 
 async def measure(count: int) -> None:
     """Measure one deployment."""
-    spec = association(engines=1, pool_size=1)
+    spec = sample_deployment(engines=1, pool_size=1)
     async with LocalDeployment(spec, count, DATA_CENTRES, TIMING) as deployment:
         await asyncio.sleep(3.0)
         platform = deployment.stand_ins.platform
--- a/packages/standins/src/eelgrass_standins/demo.py
+++ b/packages/standins/src/eelgrass_standins/demo.py
@@ -10,14 +10,14 @@
 
 from .client import Client, Reply
 from .deployment import StandIns
-from .samples import association, node_settings, sample_configuration
+from .samples import node_settings, sample_configuration, sample_deployment
 
 __all__ = ["run_demo"]
 
 
 async def run_demo() -> None:
     """Start everything on loopback, send the requests and print the answers."""
-    stand_ins = StandIns(association())
+    stand_ins = StandIns(sample_deployment())
     await stand_ins.start()
     (raw,) = node_settings(stand_ins.spec.platform.address, 1)
     raw["timing"] = {"drain_notice_ms": 100}
--- a/packages/standins/src/eelgrass_standins/users_engines.py
+++ b/packages/standins/src/eelgrass_standins/entry_engines.py
@@ -59,11 +59,11 @@
         self.batch_items: list[dict] = []
         self.calls = 0
         self.results: set[str] = set()
-        self.made_by_handle: dict[str, dict] = {}
+        self.item_by_handle: dict[str, dict] = {}
         self.cancelled = 0
         self.started = 1_700_000_000_000
         self.fatal: bytes | None = None
-        self.end: Callable[[], None] = lambda: None
+        self.crash: Callable[[], None] = lambda: None
         self._number = 0
 
     def application(self) -> web.Application:
@@ -78,7 +78,7 @@
         """Begin a new life: forget all results, and count them anew."""
         self.started += 1
         self.results = set()
-        self.made_by_handle = {}
+        self.item_by_handle = {}
         self._number = 0
 
     def _take(self, *faults: EngineFault) -> EngineFault | None:
@@ -163,7 +163,7 @@
         """Begin to answer, and end the server."""
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
-        self.end()
+        self.crash()
         await asyncio.Event().wait()
 
     async def _handle_items(self, request: web.Request) -> web.Response:
@@ -178,7 +178,7 @@
         if self.fatal is not None:
             keys = [item.get("Key", "").encode() for item in items]
             if any(self.fatal in key for key in keys):
-                self.end()
+                self.crash()
                 await asyncio.Event().wait()
         return web.json_response({"Items": [self._make(item) for item in items]})
 
@@ -190,7 +190,7 @@
         self._number += 1
         handle = f"{self.address}/{self._number:x}"
         self.results.add(handle)
-        self.made_by_handle[handle] = item
+        self.item_by_handle[handle] = item
         return {"Handle": handle}
 
     async def _handle_free(self, request: web.Request) -> web.Response:
--- a/packages/standins/src/eelgrass_standins/samples.py
+++ b/packages/standins/src/eelgrass_standins/samples.py
@@ -13,7 +13,7 @@
     "ACCOUNT_KEY",
     "DATA_CENTRES",
     "OPERATOR_TOKEN",
-    "association",
+    "sample_deployment",
     "create_items",
     "node_settings",
     "sample_configuration",
@@ -27,7 +27,7 @@
 SERVICES = ("register-desk", "member-portal", "permit-liaison", "archive-index")
 
 
-def association(
+def sample_deployment(
     engines: int = 6,
     pool_size: int = 3,
     work: float = 1.0,
--- a/tests/support/entry.py
+++ b/tests/support/entry.py
@@ -18,11 +18,11 @@
     ServingBounds,
     StoreSettings,
 )
+from eelgrass_standins.entry_engines import EVENTS, EngineStandIn
 from eelgrass_standins.ports import free_addresses
 from eelgrass_standins.row_store import RowStoreStandIn
-from eelgrass_standins.users_engines import EVENTS, EngineStandIn
 
-from .serving import end_at_once, start_serving
+from .serving import abort_serving, start_serving
 
 BOUNDS = ServingBounds(
     stop_s=8.0,
@@ -39,7 +39,9 @@
 # The region of each data centre.
 REGIONS = {"a": "east", "b": "east", "c": "west"}
 # All that a stream of the stand-ins gives.
-WHOLE = b"".join(b"id: %d\ndata: piece-%d\n\n" % (n, n) for n in range(1, EVENTS + 1))
+COMPLETE_STREAM = b"".join(
+    b"id: %d\ndata: piece-%d\n\n" % (n, n) for n in range(1, EVENTS + 1)
+)
 
 
 def route(name, kind, service, **fields):
@@ -187,7 +189,7 @@
         engine = EngineStandIn(server_id, shown, self._event_s)
         self.engines_by_service.setdefault(service, []).append(engine)
         runner = await self._serve(engine.application(), address)
-        engine.end = lambda: end_at_once(runner)
+        engine.crash = lambda: abort_serving(runner)
         self.list_engine(service, engine, data_centre=data_centre)
         return engine
 
@@ -198,7 +200,7 @@
     async def add_node(self) -> EntryNode:
         """Start one more node, without waiting until it is ready."""
         node = self.new_node()
-        let_budgets_fill(node)
+        fill_retry_budgets(node)
         await node.start()
         return node
 
@@ -248,7 +250,7 @@
         return runner
 
 
-def let_budgets_fill(node: EntryNode) -> None:
+def fill_retry_budgets(node: EntryNode) -> None:
     """Have a node reckon that it has been up for a while, as far as it may repeat."""
     clock = node.retries._clock
     node.retries._clock = lambda: clock() + node.settings.bounds.retry_window_s
--- a/tests/support/fault_proxy.py
+++ b/tests/support/fault_proxy.py
@@ -92,7 +92,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def end(self) -> None:
+    def crash(self) -> None:
         """Refuse new connections and reset all others, as a process that crashes."""
         self._server.close()
         self.reset()
--- a/tests/support/local.py
+++ b/tests/support/local.py
@@ -11,9 +11,9 @@
 from eelgrass_standins.faults import Fault, Faults
 from eelgrass_standins.journal import JournalEntry
 from eelgrass_standins.samples import (
-    association,
     node_settings,
     sample_configuration,
+    sample_deployment,
 )
 
 from .node_addresses import NodeAddresses
@@ -33,7 +33,7 @@
         policy: dict[str, Any] | None = None,
         configuration: dict[str, Any] | None = None,
     ) -> None:
-        spec = spec or association(engines=2, pool_size=2, work=0.0, step_ms=1.0)
+        spec = spec or sample_deployment(engines=2, pool_size=2, work=0.0, step_ms=1.0)
         self.stand_ins = StandIns(spec)
         self.settings = node_settings(spec.platform.address, nodes, data_centres)
         for node in self.settings:
--- a/tests/support/narrow_links.py
+++ b/tests/support/narrow_links.py
@@ -7,7 +7,7 @@
 from .entry import BOUNDS, EntryDeployment, configuration, route
 from .fault_proxy import FaultProxy, Link
 
-__all__ = ["IN_FORCE_S", "NarrowLinks", "large_configuration"]
+__all__ = ["IN_FORCE_S", "NarrowLinkDeployment", "large_configuration"]
 
 # Seconds within which a configuration must be in force on the users' grown sites.
 IN_FORCE_S = 3.0
@@ -28,7 +28,7 @@
     return configuration(version, routes=[*added, *more])
 
 
-class NarrowLinks(EntryDeployment):
+class NarrowLinkDeployment(EntryDeployment):
     """Each node sends to others, and hears from the store, at ``bytes_per_s``.
 
     The first ``strong_nodes`` have twenty times as much, and relay the tables.
@@ -36,9 +36,11 @@
     before what each node tells others but for news of members.
     """
 
-    def __init__(self, nodes: int, bytes_per_s: float, strong_nodes: int = 0) -> None:
+    def __init__(
+        self, nodes: int, bytes_per_s: float, high_capacity_nodes: int = 0
+    ) -> None:
         super().__init__(nodes)
-        self._strong_nodes = strong_nodes
+        self._strong_nodes = high_capacity_nodes
         self.bounds = msgspec.structs.replace(BOUNDS, apply_s=IN_FORCE_S)
         self._bytes_per_s = bytes_per_s
         self.store_proxies: list[FaultProxy] = []
--- a/tests/support/cuts.py
+++ b/tests/support/network_partition.py
@@ -15,7 +15,7 @@
 CONNECT_S = 0.3
 
 
-class Cuts:
+class NetworkPartition:
     """The addresses that one node cannot reach."""
 
     def __init__(self, node: Node) -> None:
--- a/tests/support/platform_soak.py
+++ b/tests/support/platform_soak.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
-from eelgrass_standins.users_engines import EngineFault
+from eelgrass_standins.entry_engines import EngineFault
 from support.entry import configuration, route
 from support.fault_proxy import Direction, FaultProxy
 from support.soak_deployment import Call, SoakDeployment, SoakNode
 
-__all__ = ["Harm", "Probe", "Soak"]
+__all__ = ["FaultProfile", "Probe", "Soak"]
 
 KINDS = ("safe", "once", "stream/resumed", "stream/single", "stream/staged")
 CALLS_PER_S = 40
@@ -28,12 +28,12 @@
 INTERPRETER_S = 0.25
 
 
-class Harm(Enum):
+class FaultProfile(Enum):
     """What a run does: only what is planned, all there is, or what delays news."""
 
     PLANNED = "planned"
     ALL = "all"
-    NEWS = "news"
+    DELAYED_UPDATES = "news"
 
 
 class Probe(msgspec.Struct, frozen=True):
@@ -47,8 +47,10 @@
 class Soak:
     """One run from a seed, with some kind of harm."""
 
-    def __init__(self, deployment: SoakDeployment, seed: int, harm: Harm) -> None:
-        self.planned = harm is Harm.PLANNED
+    def __init__(
+        self, deployment: SoakDeployment, seed: int, harm: FaultProfile
+    ) -> None:
+        self.planned = harm is FaultProfile.PLANNED
         self.random = random.Random(seed)
         self._call_random = random.Random(f"calls of {seed}")
         self._probe_random = random.Random(f"probes of {seed}")
@@ -77,16 +79,16 @@
         ]
         self._harm = harm
         self._kinds = {
-            Harm.PLANNED: planned,
-            Harm.ALL: [*planned, self._kill, self._pause, *store, *engines],
-            Harm.NEWS: [self._version, *store],
+            FaultProfile.PLANNED: planned,
+            FaultProfile.ALL: [*planned, self._kill, self._pause, *store, *engines],
+            FaultProfile.DELAYED_UPDATES: [self._version, *store],
         }[harm]
 
     async def run(self, seconds: float, troubles: int = 3) -> None:
         """Call and disturb for so long, then let all recover."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
-        if self._harm is Harm.NEWS:
+        if self._harm is FaultProfile.DELAYED_UPDATES:
             self._put_version()
         troublemakers = [self._disturb(end) for _ in range(troubles)]
         await asyncio.gather(self._call_all(end), self._probe_all(end), *troublemakers)
@@ -96,7 +98,7 @@
             node.store.heal()
         self._deployment.store.down = False
 
-    async def recovered(self) -> list[str]:
+    async def unrecovered(self) -> list[str]:
         """Return what does not work again, after the time to recover."""
         self._put_version()
         await asyncio.sleep(APPLY_S)
@@ -128,11 +130,11 @@
             node = self._deployment.soak_nodes[number]
             since = loop.time() - APPLY_S
             in_force = [v for v, at in self._put_at_by_version.items() if at <= since]
-            if not in_force or not node.calm_since(since):
+            if not in_force or not node.undisturbed_since(since):
                 continue
             version = max(in_force)
             call = await self._deployment.call(number, f"added-{version}")
-            if node.calm_since(since):
+            if node.undisturbed_since(since):
                 self.probes.append(Probe(node.name, version, call.status))
 
     async def _disturb(self, end: float) -> None:
@@ -153,7 +155,7 @@
         await asyncio.sleep(self.random.uniform(least, most))
 
     def _harmed(self, node: SoakNode) -> None:
-        node.harmed_until = asyncio.get_running_loop().time()
+        node.disturbed_until = asyncio.get_running_loop().time()
 
     async def _kill(self) -> None:
         node = self._node()
--- a/tests/support/poison.py
+++ b/tests/support/poison.py
@@ -2,18 +2,18 @@
 
 import asyncio
 
-from eelgrass_standins.users_engines import EngineStandIn
+from eelgrass_standins.entry_engines import EngineStandIn
 
 from .entry import EntryDeployment
 
-__all__ = ["POISON", "EndingServers"]
+__all__ = ["POISON", "CrashingServers"]
 
 POISON = b"a prompt that ends its engine"
 # An entry lapses after three heartbeats, and the server is back by then.
 BACK_S = 1.0
 
 
-class EndingServers(EntryDeployment):
+class CrashingServers(EntryDeployment):
     """Servers end under ``POISON`` and come back under another id.
 
     ``ended`` are those that have ended and ``ended_at`` the times of it.
@@ -21,8 +21,8 @@
 
     def __init__(self, *arguments, **options) -> None:
         super().__init__(*arguments, **options)
-        self.ended: list[EngineStandIn] = []
-        self.ended_at: list[float] = []
+        self.crashed: list[EngineStandIn] = []
+        self.crashed_at: list[float] = []
         self._returns: set[asyncio.Task] = set()
 
     async def __aexit__(self, *exc: object) -> None:
@@ -35,18 +35,18 @@
         """Start a server and list it."""
         engine = await super().start_engine(service, server_id)
         engine.fatal = POISON
-        end = engine.end
+        crash = engine.crash
 
         def end_and_return() -> None:
-            end()
-            self.ended.append(engine)
-            self.ended_at.append(asyncio.get_running_loop().time())
+            crash()
+            self.crashed.append(engine)
+            self.crashed_at.append(asyncio.get_running_loop().time())
             self._returns.add(asyncio.create_task(self._return(service, engine)))
 
-        engine.end = end_and_return
+        engine.crash = end_and_return
         return engine
 
     async def _return(self, service: str, engine: EngineStandIn) -> None:
         await asyncio.sleep(BACK_S)
         self.store.remove("servers", engine.server_id)
-        await self.start_engine(service, f"{service}-back-{len(self.ended)}")
+        await self.start_engine(service, f"{service}-back-{len(self.crashed)}")
--- a/tests/support/retry_budget.py
+++ b/tests/support/retry_budget.py
@@ -4,7 +4,7 @@
 from bisect import bisect_left, bisect_right
 
 from eelgrass_node.entry_node import EntryNode
-from eelgrass_standins.users_engines import EngineFault
+from eelgrass_standins.entry_engines import EngineFault
 
 from .entry import EntryDeployment, until
 
--- a/tests/support/serving.py
+++ b/tests/support/serving.py
@@ -7,7 +7,7 @@
 
 from eelgrass_standins.ports import free_addresses
 
-__all__ = ["end_at_once", "served", "start_serving"]
+__all__ = ["abort_serving", "served", "start_serving"]
 
 # What still runs at the end of a test is not waited for.
 SHUTDOWN_S = 0.1
@@ -31,7 +31,7 @@
     return runner
 
 
-def end_at_once(runner: web.AppRunner) -> None:
+def abort_serving(runner: web.AppRunner) -> None:
     """Refuse new connections and reset all others, as a process that crashes."""
     for site in runner.sites:
         site._server.close()
--- a/tests/support/soak_checks.py
+++ b/tests/support/soak_checks.py
@@ -3,8 +3,8 @@
 import signal
 from collections import Counter
 
-from eelgrass_standins.users_engines import EngineStandIn
-from support.entry import WHOLE
+from eelgrass_standins.entry_engines import EngineStandIn
+from support.entry import COMPLETE_STREAM
 from support.platform_soak import Soak
 from support.soak_deployment import DEADLINE_S, Call, SoakDeployment
 
@@ -65,15 +65,15 @@
         found.append(f"{name} was not told when to come back")
     if call.status == 200:
         stream = call.kind.startswith("stream")
-        whole = WHOLE if stream else b"answer of " + call.request_id.encode()
+        whole = COMPLETE_STREAM if stream else b"answer of " + call.request_id.encode()
         if call.body != whole:
             found.append(f"{name} got {call.body!r}")
         if call.answered_id != call.request_id:
             found.append(f"{name} got the answer to {call.answered_id}")
     if call.status in (400, 401, 404, 413, 431):
         found.append(f"{name} was refused though it is allowed")
-    harmed_until = deployment.soak_nodes[call.node].harmed_until
-    held_s = call.ended_at - max(call.sent_at, min(harmed_until, call.ended_at))
+    disturbed_until = deployment.soak_nodes[call.node].disturbed_until
+    held_s = call.ended_at - max(call.sent_at, min(disturbed_until, call.ended_at))
     if held_s > DEADLINE_S + LATE_S:
         found.append(f"{name} was held for {held_s:.1f} s")
     return found
@@ -81,7 +81,7 @@
 
 def _wrong_inputs(engines: list[EngineStandIn]) -> list[str]:
     """Return requests and pieces that were given inputs of others."""
-    made = {h: item for engine in engines for h, item in engine.made_by_handle.items()}
+    made = {h: item for engine in engines for h, item in engine.item_by_handle.items()}
     found = []
     given = [
         (run.request_id, run.headers["Eelgrassward-Inputs"].split(","), 7)
--- a/tests/support/soak_deployment.py
+++ b/tests/support/soak_deployment.py
@@ -11,8 +11,8 @@
 import msgspec
 from yarl import URL
 
+from eelgrass_standins.entry_engines import EngineStandIn
 from eelgrass_standins.ports import free_addresses
-from eelgrass_standins.users_engines import EngineStandIn
 from support.entry import HOST, KEY, EntryDeployment
 from support.fault_proxy import FaultProxy
 from support.processes import Process
@@ -64,7 +64,7 @@
         self.callers = callers
         self.store = store
         # When a fault of the host itself last ended.
-        self.harmed_until = 0.0
+        self.disturbed_until = 0.0
         # How many faults hold it up or keep it from the store, and until when.
         self.faults = 0
         self.calm_from = 0.0
@@ -81,7 +81,7 @@
             self.faults -= 1
             self.calm_from = asyncio.get_running_loop().time()
 
-    def calm_since(self, at: float) -> bool:
+    def undisturbed_since(self, at: float) -> bool:
         """Return whether nothing has harmed it since a time."""
         return self.faults == 0 and self.calm_from <= at
 
@@ -133,13 +133,13 @@
     async def start_engine(self, service: str, server_id: str) -> EngineStandIn:
         """Start a server behind a proxy of its own, and list it."""
         engine = await super().start_engine(service, server_id)
-        proxy, end = self.engine_proxies[engine.address], engine.end
+        proxy, crash = self.engine_proxies[engine.address], engine.crash
 
-        def end_both() -> None:
-            proxy.end()
-            end()
+        def crash_both() -> None:
+            proxy.crash()
+            crash()
 
-        engine.end = end_both
+        engine.crash = crash_both
         return engine
 
     async def start_server(self, service: str, server_id: str) -> EngineStandIn:
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -6,7 +6,7 @@
 import pytest
 
 from eelgrass_standins.faults import Fault, FaultAction as Action
-from eelgrass_standins.samples import association
+from eelgrass_standins.samples import sample_deployment
 from support.entry import until
 from support.local import LocalDeployment
 
@@ -57,7 +57,7 @@
 class TestCosts:
     @pytest.mark.parametrize("disturb", [False, True])
     async def test_they_add_up_to_the_journals(self, disturb):
-        spec = association(engines=2, pool_size=2, work=1.0, step_ms=2.0)
+        spec = sample_deployment(engines=2, pool_size=2, work=1.0, step_ms=2.0)
         policy = {"retry_budget_ratio": 1.0}
         async with LocalDeployment(spec, nodes=2, policy=policy) as deployment:
             await call_many(deployment, 80, disturb)
@@ -73,7 +73,7 @@
     async def test_an_attempt_that_was_given_up_before_its_first_piece_counts(self):
         silent = Fault(Action.SILENT_STREAM, GENERATE, times=1, after=0)
         slow = Fault(Action.DELAY, "/v1/cancel", delay_s=0.3, times=1)
-        spec = association(engines=2, pool_size=2, work=1.0, step_ms=2.0)
+        spec = sample_deployment(engines=2, pool_size=2, work=1.0, step_ms=2.0)
         async with LocalDeployment(spec, nodes=1) as deployment:
             deployment.fault("model-readers", silent, slow)
             reply = await deployment.client.call(
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -8,7 +8,7 @@
 import pytest
 
 from eelgrass_coordination.ids import DataCentre
-from support.entry import WHOLE, EntryDeployment, configuration, until
+from support.entry import COMPLETE_STREAM, EntryDeployment, configuration, until
 
 SERVICES = ("desk", "readers", "portal", "clerks")
 ROW = "evacuate/b"
@@ -82,7 +82,7 @@
             deployment.store.put("op", ROW, {})
             await until(lambda: emptied(deployment), 2.0)
             status, _, body = await running
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_it_is_used_again_once_it_is_given_back(self, two_places):
         two_places.store.put("op", ROW, {})
--- a/tests/test_faults_together.py
+++ b/tests/test_faults_together.py
@@ -10,9 +10,9 @@
 import pytest
 
 from eelgrass_standins.faults import Fault, FaultAction as Action
-from support.cuts import Cuts
 from support.history import History, violations
 from support.local import LocalDeployment
+from support.network_partition import NetworkPartition
 
 SEEDS = range(1, 1 + int(os.environ.get("EELGRASS_SOAK_SEEDS", "3")))
 COMMIT = "/v1/transactions"
@@ -47,7 +47,7 @@
     def __init__(self, deployment, seed):
         self._deployment = deployment
         self._random = random.Random(seed)
-        self._cuts = [Cuts(node) for node in deployment.nodes]
+        self._cuts = [NetworkPartition(node) for node in deployment.nodes]
         self.history = History()
 
     async def call_all(self):
--- a/tests/test_killed_and_paused.py
+++ b/tests/test_killed_and_paused.py
@@ -7,7 +7,7 @@
 import pytest_asyncio
 
 from eelgrass_standins.faults import Fault, FaultAction as Action
-from eelgrass_standins.samples import association
+from eelgrass_standins.samples import sample_deployment
 from support.history import History, violations
 from support.processes import ProcessDeployment, until
 
@@ -22,7 +22,7 @@
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
 async def deployment(tmp_path_factory):
     folder = tmp_path_factory.mktemp("killed")
-    spec = association(engines=1, pool_size=1)
+    spec = sample_deployment(engines=1, pool_size=1)
     timing = {"drain_notice_ms": 100, "heartbeat_ms": 200}
     async with ProcessDeployment(spec, folder, settings={"timing": timing}) as running:
         yield running
--- a/tests/test_large_configuration.py
+++ b/tests/test_large_configuration.py
@@ -16,7 +16,7 @@
 
 from support.entry import configuration, route, until
 from support.fault_proxy import Direction
-from support.narrow_links import IN_FORCE_S, NarrowLinks, large_configuration
+from support.narrow_links import IN_FORCE_S, NarrowLinkDeployment, large_configuration
 
 ROUTES = 1564
 # A link of 5 Mbit/s.
@@ -29,14 +29,16 @@
 @pytest.fixture
 async def narrow():
     """Give nodes with narrow links, before a large configuration."""
-    async with NarrowLinks(NODES, LINK_BYTES_PER_S) as deployment:
+    async with NarrowLinkDeployment(NODES, LINK_BYTES_PER_S) as deployment:
         yield deployment
 
 
 @pytest.fixture
 async def mixed():
     """Give one strong node, which relays, and others with narrow links."""
-    async with NarrowLinks(NODES, LINK_BYTES_PER_S, strong_nodes=1) as deployment:
+    async with NarrowLinkDeployment(
+        NODES, LINK_BYTES_PER_S, high_capacity_nodes=1
+    ) as deployment:
         yield deployment
 
 
@@ -98,7 +100,7 @@
 
     @pytest.fixture
     async def behind(self):
-        async with NarrowLinks(3, LINK_BYTES_PER_S) as deployment:
+        async with NarrowLinkDeployment(3, LINK_BYTES_PER_S) as deployment:
             deployment.store_proxies[0].blocked.add(Direction.TO_CLIENT)
             for proxy in deployment.node_proxies[1:]:
                 proxy.blocked.add(Direction.TO_CLIENT)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -6,7 +6,7 @@
 import pytest
 import pytest_asyncio
 
-from eelgrass_standins.samples import association
+from eelgrass_standins.samples import sample_deployment
 from support.local import LocalDeployment
 
 pytestmark = pytest.mark.asyncio(loop_scope="module")
@@ -19,7 +19,7 @@
 @pytest_asyncio.fixture(loop_scope="module")
 async def deployment(request):
     lag_s = getattr(request, "param", 60.0)
-    spec = association(1, 3, work=0.0, step_ms=1.0, host_lag_s=lag_s)
+    spec = sample_deployment(1, 3, work=0.0, step_ms=1.0, host_lag_s=lag_s)
     timing = {"heartbeat_ms": 100}
     async with LocalDeployment(spec, nodes=6, timing=timing) as running:
         yield running
--- a/tests/test_partition.py
+++ b/tests/test_partition.py
@@ -6,9 +6,9 @@
 import pytest_asyncio
 
 from eelgrass_coordination import MemberState
-from support.cuts import Cuts
 from support.history import History, violations
 from support.local import LocalDeployment
+from support.network_partition import NetworkPartition
 from support.processes import until
 from test_configuration_in_force import amend_deadline
 
@@ -23,7 +23,7 @@
 
     def __init__(self, deployment):
         self._deployment = deployment
-        self._cuts = [Cuts(node) for node in deployment.nodes]
+        self._cuts = [NetworkPartition(node) for node in deployment.nodes]
 
     def cut(self):
         """Cut the data centre off."""
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -8,7 +8,7 @@
 import pytest_asyncio
 
 from eelgrass_standins.faults import Fault, FaultAction as Action
-from eelgrass_standins.samples import association
+from eelgrass_standins.samples import sample_deployment
 from support.history import History, violations
 from support.processes import ProcessDeployment
 
@@ -22,7 +22,7 @@
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
 async def deployment(tmp_path_factory):
     folder = tmp_path_factory.mktemp("stops")
-    spec = association(engines=2, pool_size=2)
+    spec = sample_deployment(engines=2, pool_size=2)
     timing = {"drain_notice_ms": NOTICE_MS, "heartbeat_ms": 300}
     async with ProcessDeployment(
         spec, folder, grouped=False, settings={"timing": timing}
--- a/tests/test_platform_news.py
+++ b/tests/test_platform_news.py
@@ -4,7 +4,7 @@
 
 from eelgrass_node.process.table_relay import relay_of
 from support.entry import (
-    WHOLE,
+    COMPLETE_STREAM,
     EntryDeployment,
     configuration,
     route,
@@ -64,7 +64,7 @@
                 entry.store.remove("servers", engine.server_id)
             await until(lambda: not node.backends.usable("readers"), 2.0)
             status, _, body = await call
-            assert (status, body) == (200, WHOLE)
+            assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_a_planned_stop_cuts_off_nothing(self):
         async with EntryDeployment(event_s=0.4) as entry:
@@ -76,7 +76,7 @@
             status, headers, _ = await entry.ask("/safe/x")
             assert (status, headers["Connection"]) == (200, "close")
             status, _, body = await call
-            assert (status, body) == (200, WHOLE)
+            assert (status, body) == (200, COMPLETE_STREAM)
             assert await stop is True
 
 
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from support.platform_soak import Harm, Soak
+from support.platform_soak import FaultProfile, Soak
 from support.soak_checks import violations
 from support.soak_deployment import SoakDeployment
 
@@ -41,7 +41,7 @@
     async with SoakDeployment(folder, seed) as deployment:
         soak = Soak(deployment, seed, harm)
         await soak.run(run_s, troubles)
-        broken = violations(soak, deployment) + await soak.recovered()
+        broken = violations(soak, deployment) + await soak.unrecovered()
     accepted = [call for call in soak.calls if call.accepted]
     whole = sum(call.status == 200 for call in accepted)
     print(
@@ -57,7 +57,7 @@
     @pytest.mark.parametrize("seed", SEEDS)
     async def test_no_promise_is_broken(self, seed, tmp_path):
         planned = seed % PLANNED_EVERY == 0
-        harm = Harm.PLANNED if planned else Harm.ALL
+        harm = FaultProfile.PLANNED if planned else FaultProfile.ALL
         _, served = await broken_in(tmp_path, seed, harm, RUN_S, 3)
         assert served >= least_served(planned)
 
@@ -68,6 +68,8 @@
         A configuration was once in force 4 s late where the store had turned away
         the node that read it for the others.
         """
-        soak, served = await broken_in(tmp_path, seed, Harm.NEWS, NEWS_S, 1)
+        soak, served = await broken_in(
+            tmp_path, seed, FaultProfile.DELAYED_UPDATES, NEWS_S, 1
+        )
         assert served >= least_served(planned=True)
         assert soak.probes
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -8,8 +8,8 @@
 from eelgrass_coordination.ids import BackendId
 from eelgrass_node.process.backends import ServerIncarnation
 from eelgrass_node.process.crash_detector import Fingerprint
-from support.entry import WHOLE, until
-from support.poison import POISON, EndingServers
+from support.entry import COMPLETE_STREAM, until
+from support.poison import POISON, CrashingServers
 
 # A request under which so many servers have ended is sent to no other one.
 MOST_ENDED = 3
@@ -17,7 +17,7 @@
 KNOWN_S = 0.5
 
 
-class PoisonedDeployment(EndingServers):
+class PoisonedDeployment(CrashingServers):
     """Three nodes before four servers of each service, which end under ``POISON``."""
 
     def __init__(self, nodes=3, servers=4, **options):
@@ -48,7 +48,7 @@
     @pytest.mark.parametrize("target", ["/stream/single/x", "/stream/resumed/x"])
     async def test_it_ends_three_servers_at_most_over_all_nodes(self, poisoned, target):
         await poisoned.attempts(12, target)
-        assert 0 < len(poisoned.ended) <= MOST_ENDED
+        assert 0 < len(poisoned.crashed) <= MOST_ENDED
 
     async def test_what_is_refused_is_refused_at_once_and_has_not_run(self, poisoned):
         """It is told when to come back, whichever node it reaches."""
@@ -66,10 +66,10 @@
         await poisoned.attempts(8)
         for node in range(3):
             status, _, body = await poisoned.ask("/stream/single/x", node)
-            assert (status, body) == (200, WHOLE)
+            assert (status, body) == (200, COMPLETE_STREAM)
         for node in range(3):
             status, _, body = await poisoned.ask("/stream/single/y", node)
-            assert (status, body) == (200, WHOLE)
+            assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_the_store_is_enough_for_nodes_that_reach_no_other_node(
         self, poisoned
@@ -78,23 +78,23 @@
             node.poison.gossip._announce = lambda marks: None
             node.membership.members.reachable = lambda: []
         await poisoned.attempts(8)
-        assert 0 < len(poisoned.ended) <= MOST_ENDED
+        assert 0 < len(poisoned.crashed) <= MOST_ENDED
 
     async def test_nodes_are_enough_for_one_another_while_the_store_is_down(
         self, poisoned
     ):
         poisoned.store.down = True
         await poisoned.attempts(8)
-        assert 0 < len(poisoned.ended) <= MOST_ENDED
+        assert 0 < len(poisoned.crashed) <= MOST_ENDED
 
     async def test_a_node_that_starts_later_knows_it(self, poisoned):
         await poisoned.attempts(6)
-        ended = len(poisoned.ended)
+        ended = len(poisoned.crashed)
         node = await poisoned.add_node()
         await until(lambda: node.ready)
         await asyncio.sleep(KNOWN_S)
         await poisoned.attempt(3)
-        assert len(poisoned.ended) == ended
+        assert len(poisoned.crashed) == ended
 
 
 class TestStages:
@@ -112,7 +112,7 @@
             )
             assert status == 503
             await asyncio.sleep(KNOWN_S)
-        assert 0 < len(poisoned.ended) <= MOST_ENDED
+        assert 0 < len(poisoned.crashed) <= MOST_ENDED
 
     async def test_stages_of_a_request_that_is_held_meanwhile_are_not_begun(
         self, poisoned
@@ -148,7 +148,7 @@
                 # Its attempts were used up within a stream.
                 continue
             if status == 200:
-                assert body == WHOLE
+                assert body == COMPLETE_STREAM
                 return held
             held |= b"servers have ended" in body
             await asyncio.sleep(min(0.5, float(headers.get("Retry-After", 0.1))))
@@ -171,7 +171,7 @@
                 held += await asyncio.gather(*sent)
             await harm
             # Copies that were under way with the one that ended the third server.
-            assert len(deployment.ended) <= MOST_ENDED + self.COPIES - 1
+            assert len(deployment.crashed) <= MOST_ENDED + self.COPIES - 1
             assert not any(held)
             for node in deployment.nodes:
                 assert node.poison.quarantine.quarantined_count() == 1
--- a/tests/test_poison_soak.py
+++ b/tests/test_poison_soak.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from support.platform_soak import Harm, Soak
-from support.poison import POISON, EndingServers
+from support.platform_soak import FaultProfile, Soak
+from support.poison import POISON, CrashingServers
 from support.soak_checks import violations
 from support.soak_deployment import SoakDeployment
 
@@ -26,7 +26,7 @@
 MOST_SENT = 3
 
 
-class PoisonedSoak(EndingServers, SoakDeployment):
+class PoisonedSoak(CrashingServers, SoakDeployment):
     """Nodes as processes before five servers of each service."""
 
     def __init__(self, folder, seed):
@@ -57,14 +57,14 @@
         number = self._random.randrange(len(self._deployment.soak_nodes))
         node = self._deployment.soak_nodes[number]
         since = asyncio.get_running_loop().time() - CALM_S
-        calm = node.calm_since(since)
+        calm = node.undisturbed_since(since)
         call = await self._deployment.call(number, self._kind, body=POISON)
-        if calm and node.calm_since(since):
+        if calm and node.undisturbed_since(since):
             self.calm_ids.add(call.request_id)
 
     def sent_late(self):
         """Return the ids of calm attempts that reached servers too late."""
-        ended_at = sorted(self._deployment.ended_at)
+        ended_at = sorted(self._deployment.crashed_at)
         if len(ended_at) < ENDED:
             return []
         late = ended_at[ENDED - 1] + CALM_S
@@ -78,7 +78,7 @@
 @pytest.mark.processes
 class TestPoisonSoak:
     @pytest.mark.parametrize("seed", range(FIRST, FIRST + COUNT))
-    @pytest.mark.parametrize("harm", [Harm.NEWS, Harm.ALL])
+    @pytest.mark.parametrize("harm", [FaultProfile.DELAYED_UPDATES, FaultProfile.ALL])
     async def test_it_reaches_few_servers_and_breaks_no_promise(
         self, seed, harm, tmp_path
     ):
@@ -89,7 +89,7 @@
             late = attempts.sent_late()
             broken = violations(soak, deployment)
         print(
-            f"seed {seed} {harm.value}: {len(deployment.ended)} servers ended, "
+            f"seed {seed} {harm.value}: {len(deployment.crashed)} servers ended, "
             f"{len(late)} sent late of {len(attempts.calm_ids)} calm attempts"
         )
         assert len(late) <= MOST_SENT, "\n".join([f"seed {seed}", *late, *soak.log])
--- a/tests/test_users_platform.py
+++ b/tests/test_users_platform.py
@@ -7,12 +7,12 @@
 
 from eelgrass_node.process import platform_tables, table_relay
 from eelgrass_node.request import request_execution
-from eelgrass_standins.users_engines import EngineFault
+from eelgrass_standins.entry_engines import EngineFault
 from support.connections import connect
 from support.entry import (
+    COMPLETE_STREAM,
     HOST,
     KEY,
-    WHOLE,
     EntryDeployment,
     hanging_listener,
     until,
@@ -119,9 +119,9 @@
             entry.list_engine("portal", engine)
         await entry.ask("/stream/staged/x", request_id="second", **SEGMENTS)
         status, _, body = await asking
-        assert (status, body) == (200, WHOLE)
-        made = {handle: i for e in portal for handle, i in e.made_by_handle.items()}
-        for item in [i for e in clerks for i in e.made_by_handle.values()]:
+        assert (status, body) == (200, COMPLETE_STREAM)
+        made = {handle: i for e in portal for handle, i in e.item_by_handle.items()}
+        for item in [i for e in clerks for i in e.item_by_handle.values()]:
             used = [made[handle] for handle in item["Inputs"]]
             assert [(u["Id"], u["Phase"]) for u in used] == [(item["Id"], 1)]
 
@@ -134,7 +134,7 @@
         serving.restart()
         entry.list_engine("readers", serving)
         status, _, body = await asking
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
         assert len(entry.runs("readers")) == 2
 
     async def test_entries_that_cannot_be_read_leave_the_others(self, entry):
@@ -208,13 +208,13 @@
 class TestStreams:
     async def test_events_are_passed_on(self, entry):
         status, headers, body = await entry.ask("/stream/resumed/x")
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
         assert headers["Content-Type"] == "text/event-stream"
 
     async def test_a_broken_stream_goes_on_elsewhere(self, entry):
         fault(entry, "readers", EngineFault.CUT_IN_EVENT)
         status, _, body = await entry.ask("/stream/resumed/x")
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_one_that_may_not_be_resumed_does_not_look_complete(self, entry):
         fault(entry, "readers", EngineFault.CUT_IN_EVENT)
@@ -262,7 +262,7 @@
 class TestStages:
     async def test_each_piece_is_made_once_and_freed(self, entry):
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
         made = {service: self.items(entry, service) for service in ("portal", "clerks")}
         assert made["portal"] == [(0, 0), (0, 1), (1, 0)]
         assert made["clerks"] == [(2, n) for n in range(5)]
@@ -310,30 +310,30 @@
     async def test_results_that_are_gone_are_made_again(self, entry):
         fault(entry, "readers", EngineFault.FORGET_RESULTS)
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_inputs_that_are_gone_are_made_again(self, entry):
         fault(entry, "clerks", EngineFault.FORGET_RESULTS)
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_a_failed_piece_is_made_again(self, entry):
         fault(entry, "portal", EngineFault.ERROR)
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_an_owner_without_servers_takes_no_pieces(self, entry):
         """One that has just started is a member before it has read the list."""
         entry.nodes[1].backends.update([])
         for _ in range(3):
             status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-            assert (status, body) == (200, WHOLE)
+            assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_a_dead_owner_of_the_queue_costs_little(self, entry):
         await entry.nodes[1].close()
         began = asyncio.get_running_loop().time()
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
         assert asyncio.get_running_loop().time() - began < 1.0
 
     # A queue whose owner was passed over took its servers for full for seconds.
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -5,7 +5,7 @@
 import pytest
 import pytest_asyncio
 
-from eelgrass_standins.samples import association
+from eelgrass_standins.samples import sample_deployment
 from support.processes import ProcessDeployment
 
 pytestmark = [pytest.mark.processes, pytest.mark.asyncio(loop_scope="module")]
@@ -14,7 +14,7 @@
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
 async def deployment(tmp_path_factory):
     folder = tmp_path_factory.mktemp("whole-path")
-    spec = association(engines=2, pool_size=2)
+    spec = sample_deployment(engines=2, pool_size=2)
     settings = {"timing": {"drain_notice_ms": 200}}
     async with ProcessDeployment(spec, folder, settings=settings) as running:
         yield running
