--- a/tests/support/background.py
+++ b/tests/support/background.py
@@ -1,4 +1,4 @@
-"""Runs a local deployment in a thread, for steps and commands that block."""
+"""Runs a local deployment in a background thread, for tests whose steps block."""
 
 import asyncio
 import threading
@@ -7,11 +7,11 @@
 
 from .local import LocalDeployment
 
-CALL_LIMIT_S = 30.0
+CALL_TIMEOUT_S = 30.0
 
 
 class BackgroundDeployment:
-    """A :class:`LocalDeployment` whose event loop runs in a thread of its own."""
+    """A :class:`LocalDeployment` whose event loop runs in a separate thread."""
 
     def __init__(self, **options: Any) -> None:
         self._loop = asyncio.new_event_loop()
@@ -20,22 +20,22 @@
         self.deployment: LocalDeployment | None = None
 
     def __enter__(self) -> "BackgroundDeployment":
-        """Start everything."""
+        """Start the thread and the deployment."""
         self._thread.start()
         self.deployment = self.run(self._start())
         return self
 
     def __exit__(self, *exc: object) -> None:
-        """Stop everything."""
+        """Stop the deployment and the thread."""
         self.run(self.deployment.__aexit__())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
         self._loop.close()
 
-    def run(self, work: Coroutine) -> Any:
-        """Run a coroutine in the deployment's loop and return its result."""
-        future = asyncio.run_coroutine_threadsafe(work, self._loop)
-        return future.result(CALL_LIMIT_S)
+    def run(self, coroutine: Coroutine) -> Any:
+        """Run a coroutine in the deployment's event loop and return its result."""
+        future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
+        return future.result(CALL_TIMEOUT_S)
 
     async def _start(self) -> LocalDeployment:
         return await LocalDeployment(**self._options).__aenter__()
--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -1,14 +1,16 @@
-"""TCP servers and connections on loopback, by address."""
+"""Opens TCP servers and connections on loopback, by ``host:port`` address."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
 
 __all__ = ["connect", "listen"]
 
-Handle = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[
+    [asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]
+]
 
 
-async def listen(handle: Handle) -> tuple[asyncio.Server, str]:
+async def listen(handle: ConnectionHandler) -> tuple[asyncio.Server, str]:
     """Listen on a free port; return the server and its address."""
     server = await asyncio.start_server(handle, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
--- a/tests/support/entry.py
+++ b/tests/support/entry.py
@@ -1,4 +1,4 @@
-"""Entry nodes and stand-ins of the users' platform in the test's own loop."""
+"""Runs entry nodes, the row store and engine stand-ins in the test's event loop."""
 
 import asyncio
 import itertools
@@ -36,16 +36,16 @@
 )
 HOST = "desk.example"
 KEY = "key-1"
-# The region of each data centre.
+# Data centres a and b share a region; c is in another one.
 REGIONS = {"a": "east", "b": "east", "c": "west"}
-# All that a stream of the stand-ins gives.
+# Body of a complete event stream of an engine stand-in.
 COMPLETE_STREAM = b"".join(
     b"id: %d\ndata: piece-%d\n\n" % (n, n) for n in range(1, EVENTS + 1)
 )
 
 
 def route(name, kind, service, **fields):
-    """Return a route whose prefix is its name."""
+    """Return a route that is called by its name as the path prefix."""
     return {
         "Name": name,
         "Host": HOST,
@@ -68,7 +68,7 @@
 
 
 def configuration(version=1, keys=(KEY,), routes=()):
-    """Return a whole configuration."""
+    """Return a complete configuration as the operator writes it to the store."""
     pieces = {"Batch": 4, "CallMs": 5, "ItemMs": 1, "HeadroomMb": 21, "HandleS": 4}
     stream = {"StreamResume": True}
     return {
@@ -93,7 +93,11 @@
 
 
 class EntryDeployment:
-    """A store, some servers of each service and some nodes; use it as a context."""
+    """A row store, engines of four services, and nodes, as an async context manager.
+
+    ``servers`` is the number of engines of each service; ``event_s`` is the time
+    between two events of their streams.
+    """
 
     def __init__(self, nodes: int = 2, event_s: float = 0.0, servers: int = 2) -> None:
         self.store = RowStoreStandIn()
@@ -107,7 +111,7 @@
         self._numbers = itertools.count()
 
     async def __aenter__(self) -> "EntryDeployment":
-        """Start everything and wait until the nodes are ready."""
+        """Start the store, engines and nodes; wait until the nodes are ready."""
         [self.store_address] = free_addresses(1)
         app = web.Application()
         self.store.add_routes(app)
@@ -121,7 +125,7 @@
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        """Close everything at once."""
+        """Close the nodes, then the servers, without draining."""
         await self.session.close()
         for node in self.nodes:
             await node.close()
@@ -137,7 +141,7 @@
         data_centre: str = "a",
         warm_up_ms: float = 0,
     ) -> None:
-        """Write the entry of a server, at another address if one is given."""
+        """Write the server's entry to the store; ``address`` overrides the engine's."""
         entry = {
             "Service": service,
             "Address": address or engine.address,
@@ -177,24 +181,24 @@
             return response.status, response.headers, await response.read()
 
     def runs(self, service: str) -> list:
-        """Return all that the servers of a service have run."""
+        """Return the requests that the servers of a service have run."""
         return [run for e in self.engines_by_service[service] for run in e.runs]
 
     async def start_engine(
         self, service: str, server_id: str, data_centre: str = "a"
     ) -> EngineStandIn:
-        """Start a server and list it."""
+        """Start a server and write its entry to the store."""
         [address] = free_addresses(1)
-        shown = await self._shown_address(address)
-        engine = EngineStandIn(server_id, shown, self._event_s)
+        advertised = await self._advertised_address(address)
+        engine = EngineStandIn(server_id, advertised, self._event_s)
         self.engines_by_service.setdefault(service, []).append(engine)
         runner = await self._serve(engine.application(), address)
         engine.crash = lambda: abort_serving(runner)
         self.list_engine(service, engine, data_centre=data_centre)
         return engine
 
-    async def _shown_address(self, address: str) -> str:
-        """Return the address under which others know a server."""
+    async def _advertised_address(self, address: str) -> str:
+        """Return the address to advertise; subclasses put a proxy in front."""
         return address
 
     async def add_node(self) -> EntryNode:
@@ -205,7 +209,7 @@
         return node
 
     def new_node(self) -> EntryNode:
-        """Return one more node, which does nothing yet."""
+        """Create one more node, without starting it."""
         callers, readiness, internal, gossip = free_addresses(4)
         first = self.nodes[0].settings if self.nodes else None
         seeds = (first.internal if first else internal,)
@@ -251,24 +255,28 @@
 
 
 def fill_retry_budgets(node: EntryNode) -> None:
-    """Have a node reckon that it has been up for a while, as far as it may repeat."""
+    """Shift the clock of a node's retry budgets by one window.
+
+    The budgets then allow retries from the start, as on a node that has been up for
+    that long.
+    """
     clock = node.retries._clock
     node.retries._clock = lambda: clock() + node.settings.bounds.retry_window_s
 
 
 @contextmanager
 def hanging_listener() -> Iterator[str]:
-    """Yield an address at which connections never come about."""
+    """Yield an address at which connection attempts hang."""
     with socket.socket() as listener, socket.socket() as first:
         listener.bind(("127.0.0.1", 0))
-        # The one place that a backlog of 0 leaves is taken here.
+        # A backlog of 0 admits one connection; ``first`` takes it, so others hang.
         listener.listen(0)
         first.connect(listener.getsockname())
         yield f"127.0.0.1:{listener.getsockname()[1]}"
 
 
 async def until(condition, within_s: float = 5.0) -> None:
-    """Wait until a condition holds."""
+    """Poll until a condition holds; raise TimeoutError after ``within_s``."""
     async with asyncio.timeout(within_s):
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
--- a/tests/support/fault_proxy.py
+++ b/tests/support/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that harms what it forwards."""
+"""A TCP proxy on loopback that injects network faults."""
 
 import asyncio
 from enum import Enum
@@ -8,27 +8,27 @@
 __all__ = ["Direction", "FaultProxy", "Link"]
 
 BLOCK_BYTES = 1 << 16
-# What goes through a narrow link at a time; connections take turns.
+# Unit of transmission over a rate-limited link, which connections share in turn.
 PACKET_BYTES = 4096
 
 
 class Direction(Enum):
-    """Which way bytes go: towards the server, or back to the client."""
+    """Direction of traffic through the proxy."""
 
     TO_SERVER = "to_server"
     TO_CLIENT = "to_client"
 
 
 class Link:
-    """A network link of ``bytes_per_s``, which all its connections share."""
+    """A link of limited bandwidth, shared by all connections that use it."""
 
     def __init__(self, bytes_per_s: float) -> None:
         self.bytes_per_s = bytes_per_s
         self.sent = 0
         self._free_at = 0.0
 
-    async def carry(self, count: int) -> None:
-        """Wait until so many bytes are through, behind those that came before."""
+    async def transmit(self, count: int) -> None:
+        """Wait until ``count`` bytes are transmitted, after those queued earlier."""
         now = asyncio.get_running_loop().time()
         self.sent += count
         self._free_at = max(now, self._free_at) + count / self.bytes_per_s
@@ -36,7 +36,7 @@
 
 
 class _Connection:
-    """The two ends of one forwarded connection."""
+    """One forwarded connection: the client's side and the server's."""
 
     def __init__(self, writers: list[asyncio.StreamWriter]) -> None:
         self.writers = writers
@@ -48,12 +48,11 @@
 
 
 class FaultProxy:
-    """Forwards to ``target``; faults are set from outside, at any time.
+    """Forwards connections to ``target``; tests set its faults at any time.
 
-    ``delay_s`` holds each block of bytes for so long. Bytes in a direction of
-    ``blocked`` wait until it is taken out again. What goes back to clients passes
-    through ``link``, and what goes to the server through ``link_to_server``, if there
-    are such.
+    ``delay_s`` delays each block of bytes. Bytes in a direction of ``blocked`` are held
+    back until the direction is removed from the set. ``link`` and ``link_to_server``,
+    if given, limit the bandwidth to clients and to the server.
     """
 
     def __init__(
@@ -76,16 +75,16 @@
 
     @property
     def sent(self) -> int:
-        """How many bytes have gone to clients over the link."""
+        """Number of bytes sent to clients over the link; 0 without a link."""
         return self.link.sent if self.link else 0
 
     async def start(self) -> str:
-        """Listen; return the address."""
+        """Start to listen; return the proxy's address."""
         self._server, address = await listen(self._accept)
         return address
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the listener and all connections."""
         self._server.close()
         self.reset()
         for task in self._tasks:
@@ -93,38 +92,38 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def crash(self) -> None:
-        """Refuse new connections and reset all others, as a process that crashes."""
+        """Refuse new connections and reset open ones, as when a process crashes."""
         self._server.close()
         self.reset()
 
     def reset(self) -> None:
-        """Reset all connections; new ones work."""
+        """Reset all open connections; new ones work."""
         for connection in list(self._connections):
             connection.abort()
 
     def silence(self) -> None:
-        """Let all connections go silent for good; new ones work."""
+        """Discard all further data of the open connections; new ones work."""
         for connection in self._connections:
             connection.silent = True
 
     def heal(self) -> None:
-        """End the delay and what blocks."""
+        """Remove the delay and unblock both directions."""
         self.delay_s = 0.0
         self.blocked.clear()
 
     async def _accept(self, reader, writer) -> None:
         try:
-            there_reader, there_writer = await connect(self._target)
+            server_reader, server_writer = await connect(self._target)
         except OSError:
             writer.transport.abort()
             return
-        connection = _Connection([writer, there_writer])
+        connection = _Connection([writer, server_writer])
         self._connections.add(connection)
-        ways = (
-            self._pump(connection, reader, there_writer, Direction.TO_SERVER),
-            self._pump(connection, there_reader, writer, Direction.TO_CLIENT),
+        pumps = (
+            self._pump(connection, reader, server_writer, Direction.TO_SERVER),
+            self._pump(connection, server_reader, writer, Direction.TO_CLIENT),
         )
-        tasks = [asyncio.create_task(way) for way in ways]
+        tasks = [asyncio.create_task(pump) for pump in pumps]
         self._tasks.update(tasks)
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in tasks:
@@ -138,7 +137,7 @@
             while data := await reader.read(PACKET_BYTES if link else BLOCK_BYTES):
                 await asyncio.sleep(self.delay_s)
                 if link is not None:
-                    await link.carry(len(data))
+                    await link.transmit(len(data))
                 while direction in self.blocked:  # noqa: ASYNC110
                     await asyncio.sleep(0.02)
                 if not connection.silent:
--- a/tests/support/history.py
+++ b/tests/support/history.py
@@ -1,7 +1,7 @@
-"""Histories of concurrent runs, and their check against what was executed.
+"""Records the calls of a concurrent run and checks them against the executions.
 
-A history entry is one call of a caller and the reply it got. The check compares
-all entries with the journals of the backend servers.
+Each history entry is a call and the reply to it. :func:`violations` compares the
+entries with the journals of the backend servers.
 """
 
 import math
@@ -18,10 +18,10 @@
 
 
 class Call(msgspec.Struct):
-    """One call. ``token`` stands in the input of this request and no other.
+    """One call of a request, whose input alone contains ``token``.
 
-    ``replied_at`` is in monotonic seconds, as the times of the journals are;
-    infinite where no reply came.
+    Repeated calls of the same request share the token. ``replied_at`` is in monotonic
+    seconds, like the times in the journals, and infinite if no reply came.
     """
 
     token: str
@@ -40,7 +40,7 @@
     async def call(
         self, deployment: Any, node: int, pipeline: str, token: str, **options: Any
     ) -> Reply | None:
-        """Make a call and record it; None where the connection broke."""
+        """Make a call and record it; return None if the connection failed."""
         entry = Call(token, pipeline, options.get("key"))
         self.calls.append(entry)
         address = deployment.callers(node)
@@ -55,7 +55,7 @@
 
 
 def violations(calls: list[Call], journal: list[JournalEntry]) -> list[str]:
-    """Return every broken promise, in words; ``journal`` is of all servers."""
+    """Return a message per violated guarantee; ``journal`` covers all servers."""
     found = []
     by_token: dict[str, list[Call]] = {}
     for call in calls:
@@ -64,7 +64,7 @@
         entries = [e for e in journal if f"<{token}>" in e.input_text]
         once = [e for e in entries if e.operation == "lodge-transmittal"]
         if len(once) > 1:
-            found.append(f"{token}: ran {len(once)} times")
+            found.append(f"{token}: non-idempotent operation ran {len(once)} times")
         for call in group:
             found += _reply_violations(call, group, entries, once)
     return found
@@ -77,22 +77,28 @@
     if reply is None:
         return []
     found = []
-    if reply.status == 200 and not _is_whole(call, reply):
-        found.append(f"{call.token}: not a whole answer: {reply.body}")
+    if reply.status == 200 and not _is_complete(call, reply):
+        found.append(
+            f"{call.token}: status 200 with an incomplete answer: {reply.body}"
+        )
     if reply.status == 200 and call.pipeline == "transmittal" and not once:
-        found.append(f"{call.token}: answered but never ran")
-    if reply.outcome == "not_run" and _denied(call, group, entries):
-        found.append(f"{call.token}: 'not run' but {len(entries)} executions")
-    if reply.outcome == "no_effect" and _denied(call, group, once):
-        found.append(f"{call.token}: 'no effect' but it ran")
+        found.append(f"{call.token}: status 200 but the operation never ran")
+    if reply.outcome == "not_run" and _contradicts_refusal(call, group, entries):
+        found.append(
+            f"{call.token}: refused as 'not_run' but executed {len(entries)} times"
+        )
+    if reply.outcome == "no_effect" and _contradicts_refusal(call, group, once):
+        found.append(f"{call.token}: refused as 'no_effect' but the operation ran")
     return found
 
 
-def _denied(call: Call, group: list[Call], entries: list[JournalEntry]) -> bool:
+def _contradicts_refusal(
+    call: Call, group: list[Call], entries: list[JournalEntry]
+) -> bool:
     """Return whether an execution contradicts the refusal of ``call``.
 
-    One that began before the refusal does. One that began later does too,
-    unless the caller has repeated the request: then it is the repeat's.
+    An execution that began before the refusal contradicts it. One that began later
+    does too, unless the caller repeated the request: the repeat may have caused it.
     """
     if any(entry.started_at <= call.replied_at for entry in entries):
         return True
@@ -100,15 +106,15 @@
     return bool(entries) and not repeated
 
 
-def _is_whole(call: Call, reply: Reply) -> bool:
+def _is_complete(call: Call, reply: Reply) -> bool:
     if isinstance(reply.body, list):
         *pieces, final = reply.body
         if not final.get("complete"):
             return "problem" in final
         text = "".join(piece["text"] for piece in pieces)
         numbers = [piece["seq"] for piece in pieces]
-        whole = numbers == list(range(final["count"]))
-        return whole and final["answer"]["output"]["text"] == text
+        in_sequence = numbers == list(range(final["count"]))
+        return in_sequence and final["answer"]["output"]["text"] == text
     if not reply.body.get("complete"):
         return False
     if call.pipeline == "revision-check":
--- a/tests/support/local.py
+++ b/tests/support/local.py
@@ -1,4 +1,4 @@
-"""Runs nodes and stand-ins in the test's own event loop."""
+"""Runs nodes, the platform and backend servers in the test's event loop."""
 
 from typing import Any
 
@@ -18,11 +18,11 @@
 
 from .node_addresses import NodeAddresses
 
-FAST = {"drain_notice_ms": 50, "head_poll_ms": 100, "hosts_poll_ms": 100}
+FAST_TIMING = {"drain_notice_ms": 50, "head_poll_ms": 100, "hosts_poll_ms": 100}
 
 
 class LocalDeployment(NodeAddresses):
-    """Stand-ins and nodes on loopback; use it as an asynchronous context."""
+    """Stand-ins and nodes on loopback, as an async context manager."""
 
     def __init__(
         self,
@@ -37,14 +37,14 @@
         self.stand_ins = StandIns(spec)
         self.settings = node_settings(spec.platform.address, nodes, data_centres)
         for node in self.settings:
-            node["timing"] = {**FAST, **(timing or {})}
+            node["timing"] = {**FAST_TIMING, **(timing or {})}
             node["policy"] = policy or {}
         self.nodes: list[Node] = []
         self.client = Client()
         self._configuration = configuration or sample_configuration()
 
     async def __aenter__(self) -> "LocalDeployment":
-        """Start and configure everything."""
+        """Start the stand-ins and nodes, and apply the configuration."""
         await self.client.__aenter__()
         await self.stand_ins.start()
         for number in range(len(self.settings)):
@@ -54,24 +54,24 @@
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        """Close everything at once."""
+        """Close the nodes, then the stand-ins, without draining."""
         for node in self.nodes:
             await node.close()
         await self.stand_ins.close()
         await self.client.__aexit__()
 
     async def start_node(self, number: int) -> Node:
-        """Start the node of the settings with that number."""
+        """Start the node with the settings at index ``number``."""
         node = Node(msgspec.convert(self.settings[number], Settings))
         await node.start()
         self.nodes.append(node)
         return node
 
     def fault(self, service: str, *faults: Fault) -> None:
-        """Set faults of a service, or of the ``platform``.
+        """Inject faults into the servers of a service, or into the ``platform``.
 
-        The servers of a service share them: a fault that is to show twice shows
-        twice in all, whichever servers are called.
+        The servers of a service share the faults: a fault with ``times=2`` hits two
+        calls in total, whichever servers receive them.
         """
         if service == "platform":
             self.stand_ins.platform.faults.set(list(faults))
@@ -83,7 +83,7 @@
                 self.stand_ins.backends_by_id[backend.id].faults.share(shared)
 
     def journal(self, service: str | None = None) -> list[JournalEntry]:
-        """Return what the servers of a service executed, or all servers."""
+        """Return the executions of a service's servers, or of all servers."""
         return [
             entry
             for backend in self.stand_ins.spec.backends
@@ -92,7 +92,7 @@
         ]
 
     def runs_of(self, service: str, text: str) -> int:
-        """Return how often a service ran a request with ``text`` in its input."""
+        """Return how many executions of a service have ``text`` in their input."""
         return sum(text in entry.input_text for entry in self.journal(service))
 
     def count(self, name: str) -> int:
--- a/tests/support/log_lines.py
+++ b/tests/support/log_lines.py
@@ -1,4 +1,4 @@
-"""The log lines that are written while a test runs."""
+"""Captures the log lines that are written while a test runs."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -10,12 +10,12 @@
 
 @contextmanager
 def log_lines() -> Iterator[list[dict]]:
-    """Collect all lines, as they are written, in the list that it gives."""
+    """Yield a list to which each log line is appended as it is written."""
     lines: list[dict] = []
-    # One and the same object, so that it can be found again.
+    # Each access of ``lines.append`` makes a new object; removal needs the same one.
     destination = lines.append
     eelgrass_node.log.eliot.add_destinations(destination)
-    # A first destination is given what was logged before it.
+    # eliot replays earlier messages to the first destination that is added.
     lines.clear()
     try:
         yield lines
--- a/tests/support/network_partition.py
+++ b/tests/support/network_partition.py
@@ -1,7 +1,8 @@
-"""Cuts between in-process nodes, the platform and backend servers.
+"""Simulates network partitions of nodes that run in the test's process.
 
-A cut is made at the interfaces: what a node sends to a cut address is dropped,
-and a connection to one times out, as if the network between had gone.
+The faults are injected into the node's gossip sender and HTTP sessions. A gossip
+message to a blocked address is dropped, and an HTTP request to one times out while
+connecting, as when the network path is down.
 """
 
 import asyncio
@@ -12,11 +13,11 @@
 
 from eelgrass_node.process.node import Node
 
-CONNECT_S = 0.3
+CONNECT_TIMEOUT_S = 0.3
 
 
 class NetworkPartition:
-    """The addresses that one node cannot reach."""
+    """Blocks the traffic from one node to a set of addresses."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -26,26 +27,26 @@
         self._wrap_backends()
 
     def block(self, addresses: Iterable[str]) -> None:
-        """Cut the node off from these addresses only; from none to heal."""
+        """Replace the set of blocked addresses; an empty set ends the partition."""
         self._blocked = frozenset(addresses)
 
     def _wrap_gossip(self) -> None:
         send = self._node.membership._send
 
-        def send_unless_cut(address: str, *rest: Any, **options: Any) -> None:
+        def send_unless_blocked(address: str, *rest: Any, **options: Any) -> None:
             if address not in self._blocked:
                 send(address, *rest, **options)
 
-        self._node.membership._send = send_unless_cut
+        self._node.membership._send = send_unless_blocked
 
     def _wrap_session(self, session: aiohttp.ClientSession) -> None:
         request = session._request
 
-        async def request_unless_cut(method: str, url: Any, **options: Any) -> Any:
-            await self._fail_if_cut(str(url))
+        async def request_unless_blocked(method: str, url: Any, **options: Any) -> Any:
+            await self._fail_if_blocked(str(url))
             return await request(method, url, **options)
 
-        session._request = request_unless_cut
+        session._request = request_unless_blocked
 
     def _wrap_backends(self) -> None:
         for backend in self._node.backends.by_id.values():
@@ -53,8 +54,10 @@
             self._wrap_session(connections._reusing())
             self._wrap_session(connections._fresh())
 
-    async def _fail_if_cut(self, url: str) -> None:
+    async def _fail_if_blocked(self, url: str) -> None:
         host = url.removeprefix("http://").partition("/")[0]
         if host in self._blocked:
-            await asyncio.sleep(CONNECT_S)
-            raise aiohttp.ConnectionTimeoutError(f"{host} is cut off")
+            await asyncio.sleep(CONNECT_TIMEOUT_S)
+            raise aiohttp.ConnectionTimeoutError(
+                f"{host} is behind a network partition"
+            )
--- a/tests/support/node_addresses.py
+++ b/tests/support/node_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of the nodes of a deployment, whichever way its nodes run."""
+"""Looks up the addresses of a deployment's nodes in their settings."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 class NodeAddresses:
-    """Mixed into deployments that keep the ``settings`` of their nodes."""
+    """Mixin for deployments that keep the ``settings`` of their nodes."""
 
     settings: list[dict[str, Any]]
 
--- a/tests/support/soak_deployment.py
+++ b/tests/support/soak_deployment.py
@@ -124,11 +124,11 @@
         ):
             await proxy.stop()
 
-    async def _shown_address(self, address: str) -> str:
+    async def _advertised_address(self, address: str) -> str:
         proxy = FaultProxy(address)
-        shown = await proxy.start()
-        self.engine_proxies[shown] = proxy
-        return shown
+        advertised = await proxy.start()
+        self.engine_proxies[advertised] = proxy
+        return advertised
 
     async def start_engine(self, service: str, server_id: str) -> EngineStandIn:
         """Start a server behind a proxy of its own, and list it."""
