--- a/tests/support/platform_soak.py
+++ b/tests/support/platform_soak.py
@@ -1,6 +1,6 @@
-"""Runs the platform's program as processes and harms them, as drawn from a seed.
+"""Runs entry nodes as processes under load and injects faults drawn from a seed.
 
-What may not come of it stands in ``soak_checks``.
+The guarantees that must hold during a run are checked in ``soak_checks``.
 """
 
 import asyncio
@@ -20,16 +20,16 @@
 
 KINDS = ("safe", "once", "stream/resumed", "stream/single", "stream/staged")
 CALLS_PER_S = 40
-# A version is in force after 2 s, with the time that a busy machine takes on top.
+# A version must be in force within 2 s; the rest allows for a busy machine.
 APPLY_S = 3.0
-# Between two looks at which version a node has in force.
+# Interval between probes of the version that a node has in force.
 PROBE_EVERY_S = 0.2
-# Until then the interpreter itself starts, and no program could take a signal.
+# Start-up time of the interpreter, in which no program can handle a signal yet.
 INTERPRETER_S = 0.25
 
 
 class FaultProfile(Enum):
-    """What a run does: only what is planned, all there is, or what delays news."""
+    """Faults of a run: planned operations, all, or those that delay table updates."""
 
     PLANNED = "planned"
     ALL = "all"
@@ -37,7 +37,7 @@
 
 
 class Probe(msgspec.Struct, frozen=True):
-    """What a node said of a version's route, which it must know by now."""
+    """A node's answer on the route of a version that must be in force by now."""
 
     node: str
     version: int
@@ -45,7 +45,7 @@
 
 
 class Soak:
-    """One run from a seed, with some kind of harm."""
+    """One run from a seed with the faults of a profile."""
 
     def __init__(
         self, deployment: SoakDeployment, seed: int, harm: FaultProfile
@@ -84,14 +84,14 @@
             FaultProfile.DELAYED_UPDATES: [self._version, *store],
         }[harm]
 
-    async def run(self, seconds: float, troubles: int = 3) -> None:
-        """Call and disturb for so long, then let all recover."""
+    async def run(self, seconds: float, concurrent_faults: int = 3) -> None:
+        """Send calls and inject faults for ``seconds``, then remove all faults."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         if self._harm is FaultProfile.DELAYED_UPDATES:
             self._put_version()
-        troublemakers = [self._disturb(end) for _ in range(troubles)]
-        await asyncio.gather(self._call_all(end), self._probe_all(end), *troublemakers)
+        injectors = [self._inject_faults(end) for _ in range(concurrent_faults)]
+        await asyncio.gather(self._call_all(end), self._probe_all(end), *injectors)
         for proxy in self._deployment.engine_proxies.values():
             proxy.heal()
         for node in self._deployment.soak_nodes:
@@ -99,7 +99,7 @@
         self._deployment.store.down = False
 
     async def unrecovered(self) -> list[str]:
-        """Return what does not work again, after the time to recover."""
+        """Return a message per route not served again after the recovery time."""
         self._put_version()
         await asyncio.sleep(APPLY_S)
         found = []
@@ -122,7 +122,7 @@
         self.calls = list(await asyncio.gather(*tasks))
 
     async def _probe_all(self, end: float) -> None:
-        """Ask calm nodes for the newest route, once it must be in force."""
+        """Probe undisturbed nodes for the newest route that must be in force."""
         loop = asyncio.get_running_loop()
         while loop.time() < end:
             await asyncio.sleep(PROBE_EVERY_S)
@@ -137,7 +137,7 @@
             if node.undisturbed_since(since):
                 self.probes.append(Probe(node.name, version, call.status))
 
-    async def _disturb(self, end: float) -> None:
+    async def _inject_faults(self, end: float) -> None:
         loop = asyncio.get_running_loop()
         while loop.time() < end:
             await asyncio.sleep(self.random.uniform(0.1, 1.0))
@@ -151,16 +151,16 @@
     def _proxy(self) -> FaultProxy:
         return self.random.choice(list(self._deployment.engine_proxies.values()))
 
-    async def _some_time(self, least: float = 0.3, most: float = 2.0) -> None:
+    async def _random_pause(self, least: float = 0.3, most: float = 2.0) -> None:
         await asyncio.sleep(self.random.uniform(least, most))
 
-    def _harmed(self, node: SoakNode) -> None:
+    def _mark_disturbed(self, node: SoakNode) -> None:
         node.disturbed_until = asyncio.get_running_loop().time()
 
     async def _kill(self) -> None:
         node = self._node()
-        await node.end(signal.SIGKILL)
-        self._harmed(node)
+        await node.stop_and_restart(signal.SIGKILL)
+        self._mark_disturbed(node)
 
     async def _pause(self) -> None:
         node = self._node()
@@ -168,13 +168,13 @@
             return
         with node.faulty():
             node.process.signal(signal.SIGSTOP)
-            await self._some_time()
+            await self._random_pause()
             if node.process.running():
                 node.process.signal(signal.SIGCONT)
-        self._harmed(node)
+        self._mark_disturbed(node)
 
     async def _term(self) -> None:
-        await self._node().end(signal.SIGTERM)
+        await self._node().stop_and_restart(signal.SIGTERM)
 
     async def _hup(self) -> None:
         node = self._node()
@@ -204,7 +204,7 @@
         leaving = self.random.choice(staying)
         self.left_at[leaving.server_id] = asyncio.get_running_loop().time()
         self._deployment.list_engine(service, leaving, "draining")
-        await self._some_time(3.0, 4.0)
+        await self._random_pause(3.0, 4.0)
         self._deployment.store.remove("servers", leaving.server_id)
 
     async def _store_down(self) -> None:
@@ -212,21 +212,21 @@
             for node in self._deployment.soak_nodes:
                 stack.enter_context(node.faulty())
             self._deployment.store.down = True
-            await self._some_time()
+            await self._random_pause()
             self._deployment.store.down = False
 
     async def _store_cut(self) -> None:
         node = self._node()
         with node.faulty():
             node.store.blocked = {self.random.choice(list(Direction))}
-            await self._some_time()
+            await self._random_pause()
             node.store.heal()
 
     async def _store_slow(self) -> None:
         node = self._node()
         with node.faulty():
             node.store.delay_s = self.random.uniform(0.05, 0.5)
-            await self._some_time()
+            await self._random_pause()
             node.store.heal()
 
     async def _store_silent(self) -> None:
@@ -243,13 +243,13 @@
     async def _engine_slow(self) -> None:
         proxy = self._proxy()
         proxy.delay_s = self.random.uniform(0.02, 0.2)
-        await self._some_time()
+        await self._random_pause()
         proxy.heal()
 
     async def _engine_cut(self) -> None:
         proxy = self._proxy()
         proxy.blocked = {self.random.choice(list(Direction))}
-        await self._some_time()
+        await self._random_pause()
         proxy.heal()
 
     async def _engine_silent(self) -> None:
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""Runs a deployment as separate processes on loopback."""
+"""Runs nodes and stand-ins as separate processes on loopback."""
 
 import asyncio
 import os
@@ -19,12 +19,12 @@
 from .connections import connect
 from .node_addresses import NodeAddresses
 
-START_LIMIT_S = 20.0
-STOP_LIMIT_S = 20.0
+START_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 20.0
 
 
 class Process:
-    """A process that a test started, ended by its own id."""
+    """A Python process started by a test; signals go to its pid only."""
 
     def __init__(
         self, arguments: list[str], log: Path, environment: dict[str, str] | None = None
@@ -35,7 +35,7 @@
         self._process: subprocess.Popen | None = None
 
     def start(self) -> None:
-        """Start it, also again after it ended."""
+        """Start the process, or restart it after it has exited."""
         with self._log.open("ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", *self._arguments],
@@ -50,25 +50,25 @@
         return self._process.pid
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         os.kill(self._process.pid, number)
 
     def running(self) -> bool:
-        """Return whether it has been started and has not ended."""
+        """Return whether the process has been started and has not exited."""
         return self._process is not None and self._process.poll() is None
 
-    async def wait(self, within: float = STOP_LIMIT_S) -> int:
-        """Wait for its end and return its exit code."""
+    async def wait(self, within: float = STOP_TIMEOUT_S) -> int:
+        """Wait until the process exits and return its exit code."""
         return await asyncio.to_thread(self._process.wait, within)
 
     async def kill(self) -> None:
-        """End it at once."""
+        """Kill the process if it runs, and wait until it has exited."""
         if self.running():
             self.signal(signal.SIGKILL)
             await self.wait()
 
     def log_text(self) -> str:
-        """Return all that it wrote."""
+        """Return the standard output and error of all its runs."""
         return self._log.read_text()
 
 
@@ -106,7 +106,7 @@
         self.client = Client()
 
     async def __aenter__(self) -> "ProcessDeployment":
-        """Start all and configure them."""
+        """Start all processes and apply the configuration."""
         await self.client.__aenter__()
         for process in (self.platform, *self.backends.values()):
             process.start()
@@ -122,7 +122,7 @@
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        """End all processes."""
+        """Kill all processes."""
         for process in (*self.nodes, self.platform, *self.backends.values()):
             await process.kill()
         await self.client.__aexit__()
@@ -136,19 +136,19 @@
         return [b.address for b in self.spec.backends if b.service == service]
 
     async def journal(self, service: str) -> list:
-        """Return what all servers of a service executed."""
+        """Return the executions of all servers of a service."""
         journals = [await self.client.journal(a) for a in self.addresses(service)]
         return [entry for journal in journals for entry in journal]
 
     async def until_ready(self, number: int) -> None:
-        """Wait until a node's platform data is there and it answers."""
+        """Wait until a node listens, which it does once it has the platform's data."""
         await self._until_listening(self.internal(number))
 
     def _stand_in_addresses(self) -> list[str]:
         return [self.spec.platform.address, *(b.address for b in self.spec.backends)]
 
     async def _until_listening(self, address: str) -> None:
-        async with asyncio.timeout(START_LIMIT_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 try:
                     _, writer = await connect(address)
@@ -172,7 +172,7 @@
 
 
 async def until(condition: Any, within: float = 10.0) -> None:
-    """Wait until an asynchronous condition holds."""
+    """Poll until an asynchronous condition holds; connection errors count as no."""
     async with asyncio.timeout(within):
         while True:
             try:
--- a/tests/support/serving.py
+++ b/tests/support/serving.py
@@ -1,4 +1,4 @@
-"""Serves aiohttp applications on loopback, in the test's own loop."""
+"""Serves aiohttp applications on loopback, in the test's event loop."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -9,7 +9,7 @@
 
 __all__ = ["abort_serving", "served", "start_serving"]
 
-# What still runs at the end of a test is not waited for.
+# Handlers that still run at the end of a test are cancelled after this time.
 SHUTDOWN_S = 0.1
 
 
@@ -32,7 +32,7 @@
 
 
 def abort_serving(runner: web.AppRunner) -> None:
-    """Refuse new connections and reset all others, as a process that crashes."""
+    """Refuse new connections and reset open ones, as when a process crashes."""
     for site in runner.sites:
         site._server.close()
     for connection in runner.server.connections:
@@ -45,7 +45,7 @@
     address: str | None = None,
     **options: bool,
 ) -> AsyncIterator[str]:
-    """Serve what ``add_routes`` adds, at a free address if none is given; yield it."""
+    """Serve the routes that ``add_routes`` adds; yield the address, free by default."""
     if address is None:
         [address] = free_addresses(1)
     app = web.Application()
--- a/tests/support/soak_deployment.py
+++ b/tests/support/soak_deployment.py
@@ -1,4 +1,4 @@
-"""Nodes of the platform's program as processes, with proxies around them."""
+"""Runs entry nodes as processes, with fault proxies before store and engines."""
 
 import asyncio
 import os
@@ -35,10 +35,10 @@
 
 
 class Call(msgspec.Struct):
-    """One call as its caller saw it.
+    """One call as seen by its caller.
 
-    A ``status`` of 0 stands for no whole answer; ``accepted`` says that there was
-    a connection.
+    ``status`` is 0 if no complete answer came; ``accepted`` tells whether the
+    connection was established.
     """
 
     request_id: str
@@ -54,7 +54,7 @@
 
 
 class SoakNode:
-    """One node as a process, with its way to the store."""
+    """A node that runs as a process, with the fault proxy on its path to the store."""
 
     def __init__(
         self, name: str, process: Process, callers: str, store: FaultProxy
@@ -63,36 +63,37 @@
         self.process = process
         self.callers = callers
         self.store = store
-        # When a fault of the host itself last ended.
+        # End of the last fault of the host itself, as a pause or kill.
         self.disturbed_until = 0.0
-        # How many faults hold it up or keep it from the store, and until when.
+        # Number of faults now affecting the node or its path to the store, and the time
+        # at which the last one ended.
         self.faults = 0
-        self.calm_from = 0.0
+        self.undisturbed_from = 0.0
         self.started_at = 0.0
         self.exit_codes: list[int] = []
 
     @contextmanager
     def faulty(self) -> Iterator[None]:
-        """Note that the node, or its way to the store, is harmed meanwhile."""
+        """Mark the node, or its path to the store, as faulty inside the context."""
         self.faults += 1
         try:
             yield
         finally:
             self.faults -= 1
-            self.calm_from = asyncio.get_running_loop().time()
+            self.undisturbed_from = asyncio.get_running_loop().time()
 
     def undisturbed_since(self, at: float) -> bool:
-        """Return whether nothing has harmed it since a time."""
-        return self.faults == 0 and self.calm_from <= at
+        """Return whether no fault has affected the node since ``at``."""
+        return self.faults == 0 and self.undisturbed_from <= at
 
     def start(self) -> None:
-        """Start the process, if none runs."""
+        """Start the process if it does not run."""
         if not self.process.running():
             self.process.start()
             self.started_at = asyncio.get_running_loop().time()
 
-    async def end(self, number: signal.Signals) -> None:
-        """Send a signal that ends the process, and start it anew."""
+    async def stop_and_restart(self, number: signal.Signals) -> None:
+        """Send a signal that terminates the process, then restart it."""
         with self.faulty():
             if self.process.running():
                 self.process.signal(number)
@@ -101,20 +102,21 @@
 
 
 class SoakDeployment(EntryDeployment):
-    """Stand-ins in this process, nodes as processes, proxies between them."""
+    """Stand-ins in this process, nodes as processes, and fault proxies between them."""
 
     def __init__(
         self, folder: Path, seed: int, nodes: int = 3, servers: int = 2
     ) -> None:
         super().__init__(nodes, event_s=0.03, servers=servers)
         self._folder = folder
-        # Hosts of their own, so that all have the same ports as on the platform.
+        # Each node has its own loopback address, so that all use the same ports, as on
+        # separate hosts.
         self._network = f"127.{os.getpid() % 200 + 1}.{seed % 250}"
         self.engine_proxies: dict[str, FaultProxy] = {}
         self.soak_nodes: list[SoakNode] = []
 
     async def __aexit__(self, *exc: object) -> None:
-        """End all processes and close everything."""
+        """Kill the nodes, then close the stand-ins and the proxies."""
         for node in self.soak_nodes:
             await node.process.kill()
         await super().__aexit__(*exc)
@@ -131,7 +133,7 @@
         return advertised
 
     async def start_engine(self, service: str, server_id: str) -> EngineStandIn:
-        """Start a server behind a proxy of its own, and list it."""
+        """Start a server behind its own proxy and write its store entry."""
         engine = await super().start_engine(service, server_id)
         proxy, crash = self.engine_proxies[engine.address], engine.crash
 
@@ -143,7 +145,7 @@
         return engine
 
     async def start_server(self, service: str, server_id: str) -> EngineStandIn:
-        """Add a server of a service, while the nodes run."""
+        """Start one more server of a service and return it."""
         await self.start_engine(service, server_id)
         return self.engines_by_service[service][-1]
 
@@ -182,9 +184,9 @@
     async def call(
         self, number: int, kind: str, key: str = KEY, body: bytes | None = None
     ) -> Call:
-        """Make one call at a node, over a connection that is kept open.
+        """Send one call to a node over a pooled connection.
 
-        Its body is its id, if none is given.
+        The request id is the body unless ``body`` is given.
         """
         loop = asyncio.get_running_loop()
         call = Call(f"id-{next(self._numbers)}", kind, number, loop.time())
@@ -210,7 +212,7 @@
         except aiohttp.ClientConnectorError:
             call.accepted = False
         except (aiohttp.ClientError, TimeoutError, OSError):
-            # Also where the head came and the body broke off.
+            # Also covers an answer whose body broke off after the status line.
             call.status = 0
         call.ended_at = loop.time()
         return call
