--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -1,6 +1,6 @@
-"""Measures what control costs a node, at growing sizes; prints the slopes.
+"""Measures the cost of the control plane to a node at growing sizes.
 
-Run as ``make capacity``. Every figure is of this run and this machine.
+Run as ``make capacity``. The figures hold only for this run on this machine.
 """
 
 import asyncio
@@ -38,27 +38,27 @@
 ACCOUNT_COUNTS = (1_000, 4_000, 16_000, 48_000)
 BACKEND_COUNTS = (100, 400, 870)
 SETTLE_S = 4.0
-WINDOW_S = 10.0
+MEASURE_S = 10.0
 CHANGES = 20
 KEYED_RATES = ((1, 50), (1, 200), (9, 100), (9, 200), (9, 400), (30, 400))
-PLATFORM_S = 0.005
+COMMIT_LATENCY_S = 0.005
 WRITES_PER_S = 300
-CLAIM_WITHIN_S = 0.8
+CLAIM_TIMEOUT_S = 0.8
 
 
 def heap_of(build: Callable[[], Any]) -> tuple[Any, int]:
-    """Return what ``build`` makes and the bytes that it holds."""
+    """Return the object that ``build`` makes and the heap bytes that it holds."""
     gc.collect()
     tracemalloc.start()
-    made = build()
+    built = build()
     gc.collect()
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return made, held
+    return built, held
 
 
 def new_member(number: int, gossip: str) -> Member:
-    """Return a member's record as it would be at the target size."""
+    """Return a member record as large as in a deployment of the target size."""
     return Member(
         id=f"entry-{number:04d}",
         data_centre=DATA_CENTRES[number % len(DATA_CENTRES)],
@@ -69,7 +69,7 @@
 
 
 async def measure_membership(count: int) -> None:
-    """Measure heartbeats among ``count`` members in one process."""
+    """Measure the gossip of ``count`` members in one process."""
     addresses = free_addresses(count)
     members = [
         Membership(new_member(n, address), seeds=addresses[:3])
@@ -82,23 +82,23 @@
     await asyncio.sleep(SETTLE_S)
     sent = [(m.sent_messages, m.sent_bytes) for m in members]
     began, began_cpu = time.monotonic(), cpu_s()
-    await asyncio.sleep(WINDOW_S)
+    await asyncio.sleep(MEASURE_S)
     took, took_cpu = time.monotonic() - began, cpu_s() - began_cpu
     messages = sum(m.sent_messages - s[0] for m, s in zip(members, sent, strict=True))
     sent_bytes = sum(m.sent_bytes - s[1] for m, s in zip(members, sent, strict=True))
-    known = min(len(member.members.reachable()) for member in members)
+    visible = min(len(member.members.reachable()) for member in members)
     for member in members:
         await member.stop()
     rate = count * took
     print(
-        f"  {count:4} members (each knows {known + 1:3}): "
+        f"  {count:4} members (each sees {visible + 1:3}): "
         f"{took_cpu / rate * 1e3:6.3f} ms CPU/s, {messages / rate:5.2f} messages/s, "
         f"{sent_bytes / rate:7.0f} bytes/s sent, per node"
     )
 
 
 def measure_member_table() -> None:
-    """Measure the memory of the records of members."""
+    """Measure the memory of 400 member records."""
 
     def build() -> MemberTable:
         table = MemberTable()
@@ -135,7 +135,7 @@
 
 
 def build_snapshot(count: int) -> Snapshot:
-    """Return a snapshot of that many accounts."""
+    """Return a configuration snapshot of ``count`` accounts."""
     by_kind: dict[str, dict[str, Entry]] = {}
     for kind, name, value in account_items(count):
         entry = Entry(1, 1, encode_value(value))
@@ -144,7 +144,7 @@
 
 
 def measure_snapshot(count: int) -> None:
-    """Measure the memory of a configuration, and the time of one change."""
+    """Measure the memory of a configuration and the time of a change."""
     snapshot, held = heap_of(lambda: build_snapshot(count))
     objects = sum(len(by_name) for by_name in snapshot.by_kind.values())
     began = time.perf_counter()
@@ -172,14 +172,14 @@
     print(
         f"  {count:6} accounts, {objects:6} objects: {held / 2**20:5.1f} MiB, "
         f"encoded {len(encoded) / 2**20:5.1f} MiB in {encode_s * 1e3:4.0f} ms, "
-        f"decoded in {decode_s * 1e3:4.0f} ms; a template's change: "
+        f"decoded in {decode_s * 1e3:4.0f} ms; a change of a template: "
         f"applied in {spent[0] / CHANGES * 1e3:5.2f} ms, "
         f"checked in {spent[1] / CHANGES * 1e3:6.1f} ms (at one node)"
     )
 
 
 async def measure_backends(count: int) -> None:
-    """Measure the memory of backend servers' records."""
+    """Measure the memory of backend records and the time to apply a server list."""
     entries = [
         HostEntry(f"engine-{n}", "readers", f"10.1.{n // 250}.{n % 250}:9000", "x")
         for n in range(count)
@@ -192,12 +192,12 @@
     update_ms = (time.perf_counter() - began) / 20 * 1e3
     print(
         f"  {count:4} backend servers: {held / 1024:6.0f} KiB, "
-        f"a poll of the list is taken in in {update_ms:5.2f} ms"
+        f"a polled server list is applied in {update_ms:5.2f} ms"
     )
 
 
 class SlowTable(TableStandIn):
-    """A table that takes a while for each commit and refuses what is too much."""
+    """A table whose commits take ``COMMIT_LATENCY_S`` and are rate-limited."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -205,8 +205,8 @@
         self.throttled = 0
 
     async def commit(self, transaction: Any, timeout: float | None = None) -> Any:
-        """Commit after the platform's latency."""
-        await asyncio.sleep(PLATFORM_S)
+        """Commit after the platform's latency; raise Throttled above the rate limit."""
+        await asyncio.sleep(COMMIT_LATENCY_S)
         if not self.limit.allows():
             self.throttled += 1
             raise Throttled("rate limit")
@@ -214,21 +214,21 @@
 
 
 async def measure_claims(nodes: int, rate: int) -> None:
-    """Measure writes and latency of claims at a rate of keyed requests."""
+    """Measure transactions and latency of claims at a rate of keyed requests."""
     table = SlowTable()
     all_claims = [Claims(table) for _ in range(nodes)]
     randomness = random.Random(1)
     latencies: list[float] = []
     tasks: list[asyncio.Task] = []
 
-    async def one() -> None:
+    async def send_keyed_request() -> None:
         claims = randomness.choice(all_claims)
         began = time.perf_counter()
         claim = Claim(
             new_id("claim"), "account", new_id("key"), "d", "p", "n", "r", "a", 0, 0
         )
         try:
-            held = await claims.acquire(claim, CLAIM_WITHIN_S)
+            held = await claims.acquire(claim, CLAIM_TIMEOUT_S)
         except ClaimUnsettled:
             return
         latencies.append(time.perf_counter() - began)
@@ -236,7 +236,7 @@
 
     began, began_cpu = time.monotonic(), cpu_s()
     while time.monotonic() - began < 3.0:
-        tasks.append(asyncio.create_task(one()))
+        tasks.append(asyncio.create_task(send_keyed_request()))
         await asyncio.sleep(randomness.expovariate(rate))
     await asyncio.gather(*tasks)
     took, took_cpu = time.monotonic() - began, cpu_s() - began_cpu
@@ -249,7 +249,7 @@
         f"  {nodes} nodes, {len(tasks) / took:4.0f} keyed requests/s: "
         f"{transactions / took:5.1f} transactions/s, {table.throttled / took:5.1f} "
         f"of them throttled, {units / transactions:4.1f} units each; "
-        f"{len(tasks) - len(latencies)} of {len(tasks)} not claimed; claim p50 "
+        f"{len(tasks) - len(latencies)} of {len(tasks)} not claimed in time; claim p50 "
         f"{latencies[len(latencies) // 2] * 1e3:5.1f} ms, p99 "
         f"{latencies[int(len(latencies) * 0.99)] * 1e3:5.1f} ms; "
         f"{took_cpu / len(tasks) * 1e3:5.2f} ms CPU each"
@@ -268,7 +268,7 @@
     print("Backend servers")
     for count in BACKEND_COUNTS:
         await measure_backends(count)
-    print(f"Claims, {PLATFORM_S * 1e3:.0f} ms and {WRITES_PER_S} transactions/s")
+    print(f"Claims, {COMMIT_LATENCY_S * 1e3:.0f} ms and {WRITES_PER_S} transactions/s")
     for nodes, rate in KEYED_RATES:
         await measure_claims(nodes, rate)
 
--- a/benchmarks/forwarder.py
+++ b/benchmarks/forwarder.py
@@ -1,7 +1,7 @@
-"""A bare forwarder, the baseline for what a hop costs: ``PORT TARGET``.
+"""A bare HTTP forwarder, the baseline of the hop cost; arguments: ``PORT TARGET``.
 
-It reads a body, posts it to the target with the same client and server library
-that the node uses, and sends back what it gets.
+It posts each body to the target and returns the answer, with the client and server
+library of the node.
 """
 
 import sys
@@ -11,7 +11,7 @@
 
 
 def main() -> None:
-    """Forward until ended."""
+    """Forward requests until terminated."""
     port, target = int(sys.argv[1]), sys.argv[2]
     session: list[aiohttp.ClientSession] = []
 
--- a/benchmarks/hop_cost.py
+++ b/benchmarks/hop_cost.py
@@ -1,8 +1,8 @@
-"""Measures what a stage hop costs the node, beside a bare forwarder.
+"""Measures the cost of a stage hop at the node, relative to a bare forwarder.
 
-The node, the forwarder and the stand-ins run as separate processes; the
-stand-ins answer at once. Run as ``make benchmark``. Every figure is of this run
-and this machine.
+The node, the forwarder and the stand-ins run as separate processes; the stand-ins
+answer at once. Run as ``make benchmark``. The figures hold only for this run on this
+machine.
 """
 
 import asyncio
@@ -48,7 +48,7 @@
 
 
 async def drive(send: Send, requests: int, workers: int) -> list[float]:
-    """Send requests from that many workers; return the latencies in seconds."""
+    """Send requests from concurrent workers; return sorted latencies in seconds."""
     latencies: list[float] = []
     left = [requests]
 
@@ -64,17 +64,18 @@
 
 
 async def measure(name: str, send: Send, pid: int, requests: int = REQUESTS) -> float:
-    """Measure one kind of request; return the processor time each, in ms."""
+    """Measure one kind of request; return the processor time per request, in ms."""
     await drive(send, WARM_UP, 4)
-    alone = await drive(send, requests // 3, 1)
+    sequential = await drive(send, requests // 3, 1)
     began, began_cpu = time.perf_counter(), cpu_s(pid)
     await drive(send, requests, 16)
     took, took_cpu = time.perf_counter() - began, cpu_s(pid) - began_cpu
     each_ms = took_cpu / requests * 1e3
     print(
         f"  {name:34} {each_ms:6.3f} ms CPU each, {requests / took:6.0f} requests/s "
-        f"(16 at a time), one at a time p50 {alone[len(alone) // 2] * 1e3:5.2f} ms, "
-        f"p99 {alone[int(len(alone) * 0.99)] * 1e3:5.2f} ms"
+        "(16 at a time), one at a time p50 "
+        f"{sequential[len(sequential) // 2] * 1e3:5.2f} ms, "
+        f"p99 {sequential[int(len(sequential) * 0.99)] * 1e3:5.2f} ms"
     )
     return each_ms
 
@@ -127,7 +128,7 @@
 
 
 async def run(deployment: ProcessDeployment, session: aiohttp.ClientSession) -> None:
-    """Measure the forwarder and the node of a deployment."""
+    """Measure the forwarder, then the node of a deployment."""
     pid = deployment.nodes[0].pid
     print(f"Idle node: {memory_mib(pid):.1f} MiB resident")
     target = f"http://{deployment.addresses('archive-index')[0]}/v1/run"
@@ -152,22 +153,23 @@
     try:
         await asyncio.sleep(1.0)
         print("Processor time and latency of one request")
-        bare = await measure("bare forwarder, one hop", forward, forwarder.pid)
+        forwarder_ms = await measure("bare forwarder, one hop", forward, forwarder.pid)
         callers = deployment.callers(0)
 
         async def node(name: str, pipeline: str, requests: int = REQUESTS) -> float:
             send = sender(session, callers, pipeline, "architects")
             return await measure(name, send, pid, requests)
 
-        one = await node("node, one stage", "current-issue")
-        three = await node("node, three stages", "three-stages")
+        one_stage_ms = await node("node, one stage", "current-issue")
+        three_stages_ms = await node("node, three stages", "three-stages")
         print(
-            f"  a request of one stage: {one / bare:.2f} times the forwarder; "
-            f"each further stage: {(three - one) / 2 / bare:.2f} times"
+            f"  a request of one stage: {one_stage_ms / forwarder_ms:.2f} times the "
+            "forwarder; each further stage: "
+            f"{(three_stages_ms - one_stage_ms) / 2 / forwarder_ms:.2f} times"
         )
-        few = await node("node, 16 tokens", "tokens-16", 600)
-        many = await node("node, 512 tokens", "tokens-512", 48)
-        print(f"  each token: {(many - few) / 496 * 1e3:.1f} us CPU")
+        short_ms = await node("node, 16 tokens", "tokens-16", 600)
+        long_ms = await node("node, 512 tokens", "tokens-512", 48)
+        print(f"  each token: {(long_ms - short_ms) / 496 * 1e3:.1f} us CPU")
         print(f"Node after the load: {memory_mib(pid):.1f} MiB resident")
     finally:
         forwarder.send_signal(signal.SIGTERM)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,4 +1,4 @@
-"""Measures policies under overload and faults, each on the same arrivals.
+"""Compares scheduling policies under overload and faults on the same arrivals.
 
 Three nodes, the platform and the backend servers run as separate processes.
 Run as ``make experiment``; options: ``--seeds N --seconds S --scenario NAME``.
@@ -38,10 +38,10 @@
 ENGINES = 2
 ENGINE_LIMIT = 8
 STEP_MS = 4.0
-# A full engine makes a step for all its sequences in 4 ms and 2% for each.
+# A step of a full engine takes 4 ms and 2% more for each of its 8 sequences.
 CAPACITY = ENGINES * ENGINE_LIMIT / ((TOKENS + 1) * STEP_MS / 1000 * 1.16)
-# Sent back to the queue before anything was run.
-NOT_REPEATED = ("retry.backend_overloaded", "retry.backend_leaving")
+# Refused before execution, so these retries repeat no work.
+RETRIES_WITHOUT_EXECUTION = ("retry.backend_overloaded", "retry.backend_leaving")
 POLICIES: dict[str, dict[str, Any]] = {
     "chosen": {},
     "baseline": {
@@ -55,7 +55,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """A load as a multiple of capacity, and what goes wrong meanwhile."""
+    """A load, as a multiple of the engines' capacity, and the faults under it."""
 
     load: float
     bursts: tuple[tuple[float, float, float], ...] = ()
@@ -75,7 +75,7 @@
 
 
 def configuration() -> dict[str, Any]:
-    """Return the configuration with the callers' priorities."""
+    """Return the sample configuration with the priorities of the caller classes."""
     made = sample_configuration()
     for caller in CALLERS:
         name = f"{caller.account}/{caller.pipeline}"
@@ -88,7 +88,7 @@
 async def run_once(
     policy: dict[str, Any], scenario: Scenario, planned: Sequence[Arrival]
 ) -> dict[str, Any]:
-    """Run one policy on one set of arrivals; return the results."""
+    """Run one policy on planned arrivals; return the results."""
     spec = sample_deployment(engines=ENGINES, pool_size=2, step_ms=STEP_MS)
     backends = tuple(
         msgspec.structs.replace(b, limit=ENGINE_LIMIT)
@@ -109,16 +109,16 @@
             client = deployment.client
             nodes = [deployment.callers(n) for n in range(3)]
             await drive(client, nodes, arrivals(CALLERS, 40, 2.0, 0))
-            tasks = [asyncio.create_task(disturb(deployment, client, scenario))]
+            tasks = [asyncio.create_task(inject_faults(deployment, client, scenario))]
             samples = await drive(client, nodes, planned)
             await asyncio.gather(*tasks)
             return await results(deployment, client, samples)
 
 
-async def disturb(
+async def inject_faults(
     deployment: ProcessDeployment, client: Client, scenario: Scenario
 ) -> None:
-    """Bring about what goes wrong in a scenario, two seconds after the start."""
+    """Inject the faults of a scenario two seconds after the start."""
     await asyncio.sleep(2.0)
     if scenario.slow_service:
         fault = Fault(FaultAction.DELAY, "/v1/run", delay_s=scenario.slow_s)
@@ -131,7 +131,7 @@
 async def results(
     deployment: ProcessDeployment, client: Client, samples: list[Sample]
 ) -> dict[str, Any]:
-    """Add up samples and costs."""
+    """Aggregate the samples, and the costs and counters of the nodes."""
     by_account = {
         caller.account: summarise([s for s in samples if s.account == caller.account])
         for caller in CALLERS
@@ -148,7 +148,7 @@
         retries += sum(
             count
             for name, count in status["counters"].items()
-            if name.startswith("retry.") and name not in NOT_REPEATED
+            if name.startswith("retry.") and name not in RETRIES_WITHOUT_EXECUTION
         )
     total = summarise(samples)
     return {
@@ -163,16 +163,16 @@
     }
 
 
-def spread(values: Sequence[float]) -> str:
-    """Return the median with the least and the greatest."""
+def format_spread(values: Sequence[float]) -> str:
+    """Format the median with minimum and maximum."""
     median = statistics.median(values)
     return f"{median:5.3f} ({min(values):5.3f}-{max(values):5.3f})"
 
 
 def show(name: str, policy: str, runs: list[dict[str, Any]], seconds: float) -> None:
-    """Print one row of the report."""
+    """Print one row of the report and the reasons of the outcomes."""
     classes = "  ".join(
-        f"{account} {spread([run['attainment'][account] for run in runs])}"
+        f"{account} {format_spread([run['attainment'][account] for run in runs])}"
         for account in runs[0]["attainment"]
     )
     per_s = statistics.median(run["attained"] for run in runs) / seconds
@@ -191,7 +191,7 @@
 
 
 async def main() -> None:
-    """Run the experiment."""
+    """Run all selected scenarios and policies."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=8.0)
@@ -219,7 +219,7 @@
 
 
 def save(results: list[dict[str, Any]]) -> None:
-    """Save the results of all runs."""
+    """Write the results of all runs to ``out/overload.json``."""
     out = Path("out")
     out.mkdir(exist_ok=True)
     (out / "overload.json").write_text(json.dumps(results, indent=1))
--- a/benchmarks/piece_queue.py
+++ b/benchmarks/piece_queue.py
@@ -1,8 +1,8 @@
-"""Processor time that the owner of a queue spends on each set of pieces.
+"""Measures the processor time that a queue owner spends on each item set.
 
-The load is that of the busiest stage on the grown sheets: sets of 16 pieces with
-8 inputs each, 8 servers with calls of 69 pieces of 0.28 s, 140 listed servers,
-and a burst that keeps some hundreds of pieces waiting.
+The load is that of the busiest stage of a large deployment: sets of 16 batch items with
+8 inputs each, 8 servers whose calls of up to 69 items take 0.28 s, 140 listed servers,
+and a burst that keeps hundreds of items waiting.
 
 Example::
 
@@ -48,7 +48,7 @@
 
 
 def listed_servers() -> list[HostEntry]:
-    """Return the servers of the stage among those of other services."""
+    """Return the servers of the stage and those of other services."""
     names = [(SERVICE, n) for n in range(SERVERS)]
     names += [("other", n) for n in range(OTHER_SERVERS)]
     return [
@@ -62,8 +62,8 @@
     ]
 
 
-def new_set(number: int, now: float) -> list[BatchItem]:
-    """Return the pieces of one stage of one request."""
+def new_item_set(number: int, now: float) -> list[BatchItem]:
+    """Return the batch items of one stage of one request."""
     inputs = tuple(f"10.1.1.{n}:8080/{number:x}{n:x}" for n in range(INPUTS))
     return [
         BatchItem(
@@ -84,19 +84,19 @@
 async def run_call(
     server, items: list[BatchItem], within_s: float
 ) -> list[ItemOutcome]:
-    """Answer as a server of the stage does, after the time of the call."""
+    """Simulate a server of the stage: answer after the duration of the call."""
     await asyncio.sleep(LIMITS.call_s + LIMITS.item_s * len(items))
     handles = (f"{server.entry.address}/{p.request_id}{p.number:x}" for p in items)
     return [ItemOutcome(handle=handle) for handle in handles]
 
 
 async def free_call(server, handles: list[str]) -> bool:
-    """Take results as freed at once."""
+    """Report the results as freed, without a call."""
     return True
 
 
 async def measure(waiting_sets: int) -> tuple[int, float]:
-    """Return the sets that were run and the processor seconds they took."""
+    """Return the number of completed item sets and their processor seconds."""
     loop = asyncio.get_running_loop()
     backends = Backends()
     backends.update(listed_servers())
@@ -131,31 +131,31 @@
         ),
         lambda server: False,
     )
-    done = 0
+    completed = 0
     began = time.process_time()
 
     async def caller(number: int) -> None:
-        nonlocal done
+        nonlocal completed
         while loop.time() < end:
             number += waiting_sets
-            outcomes = await local.run(SERVICE, new_set(number, loop.time()))
+            outcomes = await local.run(SERVICE, new_item_set(number, loop.time()))
             handles = [o.handle for o in outcomes if o.handle]
-            done += 1
+            completed += 1
             local.free(SERVICE, handles)
             await asyncio.sleep(0 if handles else 0.05)
 
     end = loop.time() + RUN_S
     await asyncio.gather(*(caller(number) for number in range(waiting_sets)))
-    return done, time.process_time() - began
+    return completed, time.process_time() - began
 
 
 def main() -> None:
-    """Print a line for each length of the queue."""
+    """Print a line per queue length."""
     for waiting_sets in WAITING_SETS:
-        done, spent_s = asyncio.run(measure(waiting_sets))
+        completed, spent_s = asyncio.run(measure(waiting_sets))
         print(
-            f"{waiting_sets * ITEMS:5d} pieces waiting: {done} sets, "
-            f"{spent_s / done * 1000:.2f} ms each"
+            f"{waiting_sets * ITEMS:5d} items waiting: {completed} sets, "
+            f"{spent_s / completed * 1000:.2f} ms each"
         )
 
 
--- a/benchmarks/processor_time.py
+++ b/benchmarks/processor_time.py
@@ -1,4 +1,4 @@
-"""Processor time that measurements take."""
+"""Reads the processor time of the benchmark process."""
 
 import resource
 
--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -1,7 +1,7 @@
-"""Measures how fast a change is in force on 3, 9 and 30 nodes, and what idling costs.
+"""Measures the propagation time of a change and the cost of idle nodes.
 
-All nodes run in one process with the stand-ins. Run as ``make capacity``. Every
-figure is of this run and this machine.
+Deployments of 3, 9 and 30 nodes run in one process with the stand-ins. Run as ``make
+capacity``. The figures hold only for this run on this machine.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 async def amend(deployment: LocalDeployment, number: int) -> None:
-    """Submit a change at one node and wait until the node has answered."""
+    """Submit a change at one node; check that it is in force on all nodes."""
     internal = deployment.internal(number % len(deployment.nodes))
     report = await deployment.client.amend(
         internal,
@@ -32,7 +32,7 @@
 
 
 async def measure(count: int) -> None:
-    """Measure one deployment."""
+    """Measure a deployment of ``count`` nodes."""
     spec = sample_deployment(engines=1, pool_size=1)
     async with LocalDeployment(spec, count, DATA_CENTRES, TIMING) as deployment:
         await asyncio.sleep(3.0)
@@ -61,8 +61,8 @@
 
 
 async def main() -> None:
-    """Measure all sizes."""
-    print("Configuration changes in force, one process")
+    """Measure all deployment sizes."""
+    print("Propagation of configuration changes, one process")
     for count in NODE_COUNTS:
         await measure(count)
 
--- a/packages/standins/src/eelgrass_standins/backend.py
+++ b/packages/standins/src/eelgrass_standins/backend.py
@@ -1,4 +1,4 @@
-"""What all stand-ins of backend servers share, and the pools and plain services."""
+"""The base class of backend server stand-ins, and pools and plain services."""
 
 import asyncio
 from typing import Any
@@ -17,7 +17,7 @@
 
 __all__ = ["BackendStandIn", "PoolStandIn", "build_pool"]
 
-IDLE_PAUSE_S = 0.02
+IDLE_POLL_INTERVAL_S = 0.02
 STATE_HEADER = "Backend-State"
 
 
@@ -44,7 +44,7 @@
         self.in_flight = 0
 
     async def refusal(self, request: web.Request) -> web.Response | None:
-        """Return the answer to a call that is not taken, or None."""
+        """Return the refusal of a call that must not start, or None to accept it."""
         if response := await self.faults.before(request):
             return response
         if self.faults.take(request.path, FaultAction.LEAVING):
@@ -61,10 +61,10 @@
     async def until_idle(self) -> None:
         """Wait until nothing is in flight."""
         while self.in_flight:  # noqa: ASYNC110
-            await asyncio.sleep(IDLE_PAUSE_S)
+            await asyncio.sleep(IDLE_POLL_INTERVAL_S)
 
     def headers(self) -> dict[str, str]:
-        """Return the headers of every answer."""
+        """Return the headers that every answer carries."""
         return {STATE_HEADER: "leaving" if self.leaving else "live"}
 
     async def handle_load(self, request: web.Request) -> web.Response:
@@ -86,9 +86,9 @@
 
 
 class PoolStandIn(BackendStandIn):
-    """An encoder, retriever, reranker or plain service.
+    """A server of encoders, retrievers, rerankers or a plain service.
 
-    Every call takes ``work_s`` seconds of one of ``limit`` workers.
+    Each call occupies one of ``limit`` workers for ``work_s`` seconds.
     """
 
     def __init__(self, backend_id: str, limit: int, work_s: float = 0.0) -> None:
@@ -135,7 +135,7 @@
 
 
 def perform(call: RunCall) -> Any:
-    """Return the result of an operation, from which its input can be told."""
+    """Return a result that depends on the operation and, for most, on its input."""
     if call.operation == "encode":
         return {"vector": [len(str(call.input)) % 97, 1.0]}
     if call.operation == "retrieve":
@@ -146,7 +146,7 @@
 
 
 def build_pool(pool: PoolStandIn) -> web.Application:
-    """Return the web application of a pool's or plain service's server."""
+    """Return the web application of a pool or plain service."""
     app = web.Application(client_max_size=1 << 24)
     app.router.add_post("/v1/run", pool.handle_run)
     pool.add_routes(app)
--- a/packages/standins/src/eelgrass_standins/client.py
+++ b/packages/standins/src/eelgrass_standins/client.py
@@ -1,4 +1,4 @@
-"""A caller, operator and observer of a deployment, for tests and measurements."""
+"""An HTTP client for callers, operators and stand-ins, for tests and benchmarks."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """What a caller got: the status, the headers and the decoded body."""
+    """An answer to a caller: status, headers and decoded body."""
 
     status: int
     headers: dict[str, str]
@@ -22,18 +22,18 @@
 
     @property
     def outcome(self) -> str | None:
-        """The outcome that a refusal states."""
+        """The outcome stated in a refusal; None for other answers."""
         return self.body.get("outcome") if isinstance(self.body, dict) else None
 
 
 class Client:
-    """Calls nodes and stand-ins by their addresses. Use it as a context."""
+    """Calls nodes and stand-ins by address; use it as an async context manager."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> "Client":
-        """Open the connections."""
+        """Open the HTTP session."""
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
             timeout=aiohttp.ClientTimeout(total=DEFAULT_TIMEOUT_S),
@@ -41,7 +41,7 @@
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        """Close the connections."""
+        """Close the HTTP session."""
         await self._session.close()
 
     async def call(
@@ -54,7 +54,7 @@
         headers: dict[str, str] | None = None,
         **fields: Any,
     ) -> Reply:
-        """Send one request to a node and read its whole answer."""
+        """Send one request to a node and read the complete answer."""
         body = {"account": account, "input": value, **fields}
         return await self.post_raw(
             address, pipeline, msgspec.json.encode(body), key, headers
@@ -68,17 +68,17 @@
         key: str | None = None,
         headers: dict[str, str] | None = None,
     ) -> Reply:
-        """Send any body to a pipeline."""
-        sent = {"Authorization": f"Bearer {ACCOUNT_KEY}", **(headers or {})}
+        """Send an encoded body to a pipeline and read the complete answer."""
+        sent_headers = {"Authorization": f"Bearer {ACCOUNT_KEY}", **(headers or {})}
         if key is not None:
-            sent["Idempotency-Key"] = key
+            sent_headers["Idempotency-Key"] = key
         url = f"http://{address}/v1/pipelines/{pipeline}/requests"
-        async with self._session.post(url, data=body, headers=sent) as response:
+        async with self._session.post(url, data=body, headers=sent_headers) as response:
             raw = await response.read()
-            return Reply(response.status, dict(response.headers), _decoded(raw))
+            return Reply(response.status, dict(response.headers), _decode(raw))
 
     async def operate(self, internal: str, path: str, message: Any = None) -> Any:
-        """Make an operator's call: a POST where there is a message."""
+        """Call the operators' interface: POST with a ``message``, GET without one."""
         url = f"http://{internal}/operator/v1/{path}"
         headers = {"Operator-Token": OPERATOR_TOKEN}
         if message is None:
@@ -98,7 +98,7 @@
     async def amend(
         self, internal: str, kind: str, name: str, change_id: str, **fields: Any
     ) -> Any:
-        """Change fields of an object as it is at a node now."""
+        """Amend fields of an object, based on its current revision at a node."""
         shown = await self.operate(internal, f"objects/{kind}?name={name}")
         item = {
             "kind": kind,
@@ -110,12 +110,12 @@
         return await self.change(internal, change_id, [item])
 
     async def configure(self, internal: str, configuration: dict) -> Any:
-        """Create a whole configuration in one change."""
+        """Create all objects of a configuration in one change."""
         items = create_items(configuration)
         return await self.change(internal, "initial-configuration", items)
 
     async def control(self, address: str, path: str, message: Any) -> None:
-        """Set something at a stand-in, such as its faults."""
+        """Post a message to a stand-in's control path, such as ``faults``."""
         url = f"http://{address}/control/{path}"
         data = msgspec.json.encode(message)
         async with self._session.post(url, data=data) as response:
@@ -134,7 +134,7 @@
             return response.status
 
 
-def _decoded(raw: bytes) -> Any:
+def _decode(raw: bytes) -> Any:
     lines = raw.splitlines()
     try:
         if len(lines) > 1:
--- a/packages/standins/src/eelgrass_standins/demo.py
+++ b/packages/standins/src/eelgrass_standins/demo.py
@@ -1,4 +1,4 @@
-"""The demo: one process with a node and all stand-ins, and a request of each kind."""
+"""Runs a demo in one process: a node, all stand-ins and sample requests."""
 
 import json
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 async def run_demo() -> None:
-    """Start everything on loopback, send the requests and print the answers."""
+    """Start the deployment on loopback, send requests and print the answers."""
     stand_ins = StandIns(sample_deployment())
     await stand_ins.start()
     (raw,) = node_settings(stand_ins.spec.platform.address, 1)
@@ -25,47 +25,47 @@
     await node.start()
     try:
         async with Client() as client:
-            await _show(client, raw["listen"])
+            await _run_requests(client, raw["listen"])
     finally:
         node.stopping.request()
         clean = await node.run_until_stopped()
         await stand_ins.close()
-    print(f"\nPlanned stop: nothing was cut off: {clean}")
+    print(f"\nPlanned stop completed without cutting off requests: {clean}")
 
 
-async def _show(client: Client, listen: dict[str, str]) -> None:
+async def _run_requests(client: Client, listen: dict[str, str]) -> None:
     callers, internal = listen["callers"], listen["internal"]
     report = await client.configure(internal, sample_configuration())
-    _title("A configuration change")
+    _print_title("A configuration change")
     print(
         f"  {report['result']['outcome']} as revision {report['result']['revision']},"
     )
     print(f"  in force on {', '.join(report['in_force'])}")
 
-    _title("A request through four stages, streamed")
+    _print_title("A request through four stages, streamed")
     reply = await client.call(
         callers, "revision-check", "Is A-101 rev C current?", stream=True
     )
     print("  " + "".join(line.get("text", "") for line in reply.body))
     final = reply.body[-1]
-    print(f"  whole: {final['complete']}, pieces: {final['count']}")
+    print(f"  complete: {final['complete']}, chunks: {final['count']}")
 
-    _title("A transmittal sent twice under one key")
+    _print_title("A transmittal sent twice under one key")
     for number in (1, 2):
         reply = await client.call(callers, "transmittal", "A-101 rev C", key="t-1")
         replayed = reply.headers.get("Idempotent-Replayed", "false")
         print(f"  call {number}: {reply.status} {reply.body['output']}, {replayed=}")
 
-    _title("A refusal")
+    _print_title("A refusal")
     reply = await client.call(
         callers, "current-issue", "A-101", deadline_ms=999_999_999
     )
     _print_refusal(reply)
 
-    _title("Amend a template while serving")
+    _print_title("Amend a template while serving")
     print("  " + await _amend(client, internal))
 
-    _title("Cost by stage")
+    _print_title("Cost per stage")
     for row in await client.operate(internal, "costs"):
         name = f"{row['account']}/{row['pipeline']}/{row['stage']}"
         useful, wasted = row["useful_ms"], row["wasted_ms"]
@@ -95,5 +95,5 @@
     print("  " + json.dumps(reply.body, indent=2).replace("\n", "\n  "))
 
 
-def _title(text: str) -> None:
+def _print_title(text: str) -> None:
     print(f"\n{text}")
--- a/packages/standins/src/eelgrass_standins/deployment.py
+++ b/packages/standins/src/eelgrass_standins/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment of stand-ins: the platform and backend servers at their addresses."""
+"""Describes a deployment of stand-ins and runs it, or a part of it, in a process."""
 
 import asyncio
 from enum import Enum
@@ -14,18 +14,18 @@
 __all__ = ["BackendKind", "BackendSpec", "DeploymentSpec", "PlatformSpec", "StandIns"]
 
 
-LEAVE_NOTICE_S = 0.5
+LEAVING_NOTICE_S = 0.5
 
 
 class BackendKind(Enum):
-    """The kinds of backend servers."""
+    """Kind of stand-in that runs for a backend server."""
 
     POOL = "pool"
     ENGINE = "engine"
 
 
 class BackendSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One backend server; ``work_ms`` is a call's time, or an engine's step."""
+    """One backend server; ``work_ms`` is the time of a call or of an engine's step."""
 
     id: str
     service: str
@@ -52,7 +52,7 @@
 
 
 class PlatformSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The platform; rates of 0 stand for no limit."""
+    """The platform; a rate of 0 means no limit."""
 
     address: str
     writes_per_s: float = 0
@@ -69,10 +69,10 @@
 
 
 class StandIns:
-    """Stand-ins of a deployment that run in this process.
+    """Runs stand-ins of a deployment in this process.
 
-    ``only`` names those to run, ``platform`` or ids of backend servers; all
-    where it is empty.
+    ``only`` selects them by ``platform`` or the ids of backend servers; an empty set
+    selects all.
     """
 
     def __init__(self, spec: DeploymentSpec, only: frozenset[str] = frozenset()):
@@ -83,31 +83,31 @@
         self.backends_by_id: dict[str, BackendStandIn] = {}
 
     async def start(self) -> None:
-        """Listen at every address."""
-        if self._runs("platform"):
+        """Start the selected stand-ins."""
+        if self._is_selected("platform"):
             await self._start_platform()
         for backend in self.spec.backends:
-            if self._runs(backend.id):
+            if self._is_selected(backend.id):
                 await self._start_backend(backend)
 
     async def stop_one(self, name: str) -> None:
-        """Stop one stand-in, cutting off what it has in flight."""
+        """Stop one stand-in and cut off its calls in flight."""
         await self._runners.pop(name).cleanup()
 
     async def leave(self) -> None:
-        """Stop backend servers as planned: no new work, then finish the old."""
+        """Refuse new work at all backend servers, then wait for the work in flight."""
         for backend in self.backends_by_id.values():
             backend.leaving = True
-        await asyncio.sleep(LEAVE_NOTICE_S)
+        await asyncio.sleep(LEAVING_NOTICE_S)
         for backend in self.backends_by_id.values():
             await backend.until_idle()
 
     async def close(self) -> None:
-        """Stop all."""
+        """Stop all stand-ins."""
         for name in list(self._runners):
             await self.stop_one(name)
 
-    def _runs(self, name: str) -> bool:
+    def _is_selected(self, name: str) -> bool:
         return not self._only or name in self._only
 
     async def _start_platform(self) -> None:
--- a/packages/standins/src/eelgrass_standins/engine.py
+++ b/packages/standins/src/eelgrass_standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: continuous batching, streams, prefix cache, orders."""
+"""Stand-in for a model engine: continuous batching, streams and a prefix cache."""
 
 import asyncio
 import time
@@ -16,7 +16,7 @@
 __all__ = ["EngineStandIn", "build_engine"]
 
 CACHED_PREFIXES = 64
-KEPT_STREAMS_S = 10.0
+STREAM_RETENTION_S = 10.0
 PREFIX_CHARACTERS = 64
 VOCABULARY = 997
 
@@ -24,8 +24,8 @@
 class GenerateCall(msgspec.Struct):
     """The body of ``POST /v1/generate``.
 
-    ``emitted`` is how many pieces the caller has already; the stream goes on
-    with the next.
+    ``emitted`` is the number of chunks that the caller already has; the stream starts
+    with the next one.
     """
 
     attempt_id: str
@@ -47,7 +47,7 @@
 
 
 class Order(msgspec.Struct):
-    """The body of ``POST /v1/orders``: the wished state of the engine."""
+    """The body of ``POST /v1/orders``: the desired state of the engine."""
 
     fencing: int
     models: list[str]
@@ -55,14 +55,14 @@
 
 
 class _Sequence:
-    """One generation under way, or finished and kept for a resume."""
+    """A generation that is running, or finished and kept for a resume."""
 
     def __init__(self, call: GenerateCall, entry: JournalEntry, prefill: int) -> None:
         self.call = call
         self.entry = entry
         self.prefill_steps = prefill
         self.seed = zlib.crc32(call.prompt.encode())
-        self.pieces: list[str] = []
+        self.chunks: list[str] = []
         self.done = False
         self.advanced = asyncio.Event()
 
@@ -70,22 +70,23 @@
     def total(self) -> int:
         return self.call.max_tokens - self.call.emitted
 
-    def step(self, share_ms: float) -> None:
-        self.entry.busy_ms += share_ms
+    def step(self, busy_share_ms: float) -> None:
+        self.entry.busy_ms += busy_share_ms
         if self.prefill_steps > 0:
             self.prefill_steps -= 1
             return
-        index = self.call.emitted + len(self.pieces)
-        self.pieces.append(f"w{(self.seed + index * 31) % VOCABULARY} ")
+        index = self.call.emitted + len(self.chunks)
+        self.chunks.append(f"w{(self.seed + index * 31) % VOCABULARY} ")
         self.entry.tokens += 1
-        self.done = len(self.pieces) >= self.total
+        self.done = len(self.chunks) >= self.total
         self.advanced.set()
 
 
 class EngineStandIn(BackendStandIn):
-    """A model engine whose step takes ``step_s`` seconds and a little per sequence.
+    """A model engine that decodes all running sequences in common steps.
 
-    ``checks_fencing`` says whether it refuses an order with an old number.
+    A step takes ``step_s`` seconds and 2% more per running sequence. With
+    ``checks_fencing``, the engine refuses orders with an outdated fencing number.
     """
 
     def __init__(
@@ -121,7 +122,7 @@
             self.in_flight -= 1
 
     async def handle_resume(self, request: web.Request) -> web.StreamResponse:
-        """Answer ``POST /v1/resume`` with the rest of a stream it still has."""
+        """Answer ``POST /v1/resume`` with the rest of a stream that is still kept."""
         call = msgspec.json.decode(await request.read(), type=ResumeCall)
         sequence = self._by_attempt.get(call.attempt_id)
         if sequence is None:
@@ -167,12 +168,12 @@
 
     def _prefill_steps(self, prompt: str) -> int:
         prefix = prompt[:PREFIX_CHARACTERS]
-        known = prefix in self._prefixes
+        cached = prefix in self._prefixes
         self._prefixes[prefix] = len(prompt)
         self._prefixes.move_to_end(prefix)
         while len(self._prefixes) > CACHED_PREFIXES:
             self._prefixes.popitem(last=False)
-        return 1 if known else 1 + len(prompt) // 400
+        return 1 if cached else 1 + len(prompt) // 400
 
     async def _run(self) -> None:
         while self._running:
@@ -184,9 +185,9 @@
 
     def _step(self, took_ms: float) -> None:
         self.busy_ms += took_ms
-        share_ms = took_ms / max(1, len(self._running))
+        busy_share_ms = took_ms / max(1, len(self._running))
         for sequence in self._running:
-            sequence.step(share_ms)
+            sequence.step(busy_share_ms)
             if sequence.done:
                 self.journal.finish(sequence.entry, Outcome.FINISHED)
                 self._forget_later(sequence)
@@ -204,7 +205,7 @@
     def _forget_later(self, sequence: _Sequence) -> None:
         loop = asyncio.get_running_loop()
         attempt_id = sequence.call.attempt_id
-        loop.call_later(KEPT_STREAMS_S, self._by_attempt.pop, attempt_id, None)
+        loop.call_later(STREAM_RETENTION_S, self._by_attempt.pop, attempt_id, None)
 
     async def _stream(
         self, request: web.Request, sequence: _Sequence, seq: int
@@ -221,9 +222,11 @@
             FaultAction.WRONG_ID,
         )
         while True:
-            while seq < len(sequence.pieces):
+            while seq < len(sequence.chunks):
                 if fault and seq >= fault.after:
-                    seq += await self._faulty(request, response, sequence, seq, fault)
+                    seq += await self._write_faulty(
+                        request, response, sequence, seq, fault
+                    )
                 else:
                     await response.write(_line(sequence, seq))
                     seq += 1
@@ -235,7 +238,7 @@
         await response.write_eof()
         return response
 
-    async def _faulty(
+    async def _write_faulty(
         self,
         request: web.Request,
         response: web.StreamResponse,
@@ -243,7 +246,7 @@
         seq: int,
         fault: Any,
     ) -> int:
-        """Send the piece at ``seq`` wrongly; return how many pieces went out."""
+        """Apply a fault to the chunk at ``seq``; return how far ``seq`` advances."""
         if fault.action is FaultAction.CUT_STREAM:
             drop_connection(request)
             raise ConnectionResetError
@@ -254,10 +257,10 @@
             return 1
         if fault.action is FaultAction.DROP_PIECE:
             return 1
-        while seq + 1 >= len(sequence.pieces) and not sequence.done:
+        while seq + 1 >= len(sequence.chunks) and not sequence.done:
             sequence.advanced.clear()
             await sequence.advanced.wait()
-        if seq + 1 < len(sequence.pieces):
+        if seq + 1 < len(sequence.chunks):
             swapped = _line(sequence, seq + 1) + _line(sequence, seq)
             await response.write(swapped + _line(sequence, seq))
             return 2
@@ -269,7 +272,7 @@
     message = {
         "attempt_id": sequence.call.attempt_id,
         "seq": seq,
-        "text": sequence.pieces[seq],
+        "text": sequence.chunks[seq],
     }
     if another_request:
         message.update(attempt_id="attempt-of-another-request", text="secret ")
--- a/packages/standins/src/eelgrass_standins/entry_engines.py
+++ b/packages/standins/src/eelgrass_standins/entry_engines.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' backend servers: plain, streaming, and for stages."""
+"""Stand-in for the backend servers of entry nodes: plain, streaming and staged."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 
 class EngineFault(Enum):
-    """What happens to the next call; each fault is used up by one call."""
+    """Effect of a fault on a call; each fault in the queue affects one call."""
 
     REFUSE = "refuse"
     ERROR = "error"
@@ -31,7 +31,7 @@
 
 
 class Run(msgspec.Struct, frozen=True):
-    """A request that ran, as the server saw it."""
+    """A request that the server ran."""
 
     request_id: str
     method: str
@@ -42,12 +42,12 @@
 
 
 class EngineStandIn:
-    """One backend server with the id ``server_id``; ``started`` tells its life.
+    """A backend server; ``server_id`` and ``started`` identify its incarnation.
 
-    ``runs`` and ``pieces`` are what it has run, ``results`` what it holds, and
-    ``made_by_handle`` tells the piece of which each result was made. A request with
-    ``fatal`` in its body, or a piece with it in its key, ends the server once it runs:
-    ``end`` is called then.
+    ``runs`` and ``batch_items`` record the work that it has run, ``results`` the
+    handles of the results that it holds, and ``item_by_handle`` the batch item behind
+    each result. A request with ``fatal`` in its body, or a batch item with it in its
+    key, crashes the server once it runs: ``crash`` is called.
     """
 
     def __init__(self, server_id: str, address: str, event_s: float = 0.0) -> None:
@@ -64,7 +64,7 @@
         self.started = 1_700_000_000_000
         self.fatal: bytes | None = None
         self.crash: Callable[[], None] = lambda: None
-        self._number = 0
+        self._last_handle_number = 0
 
     def application(self) -> web.Application:
         """Return the web application of the server."""
@@ -75,13 +75,13 @@
         return app
 
     def restart(self) -> None:
-        """Begin a new life: forget all results, and count them anew."""
+        """Begin a new incarnation; drop all results and restart the handle numbers."""
         self.started += 1
         self.results = set()
         self.item_by_handle = {}
-        self._number = 0
+        self._last_handle_number = 0
 
-    def _take(self, *faults: EngineFault) -> EngineFault | None:
+    def _consume_fault(self, *faults: EngineFault) -> EngineFault | None:
         if self.faults and self.faults[0] in faults:
             return self.faults.pop(0)
         return None
@@ -105,9 +105,9 @@
             )
         body = await request.read()
         refused = {"Eelgrassward-Not-Executed": "1"}
-        if self._take(EngineFault.REFUSE):
+        if self._consume_fault(EngineFault.REFUSE):
             return web.Response(status=HTTP_UNAVAILABLE, headers=refused)
-        if self._take(EngineFault.FORGET_RESULTS):
+        if self._consume_fault(EngineFault.FORGET_RESULTS):
             return web.Response(status=HTTP_CONFLICT, headers=refused)
         self.runs.append(
             Run(
@@ -121,17 +121,17 @@
         )
         headers = self._headers(request)
         if self.fatal is not None and self.fatal in body:
-            await self._end_in_answer(request, headers)
-        if self._take(EngineFault.HANG):
+            await self._crash_in_answer(request, headers)
+        if self._consume_fault(EngineFault.HANG):
             await asyncio.sleep(60)
-        if self._take(EngineFault.CUT_BEFORE_HEAD):
+        if self._consume_fault(EngineFault.CUT_BEFORE_HEAD):
             request.transport.abort()
             return web.Response()
-        if self._take(EngineFault.OTHER_ID):
+        if self._consume_fault(EngineFault.OTHER_ID):
             headers["Eelgrassward-Attempt-Id"] = "of-another-request"
-        if self._take(EngineFault.UNSIGNED):
+        if self._consume_fault(EngineFault.UNSIGNED):
             del headers["Eelgrassward-Engine-Signature"]
-        if self._take(EngineFault.ERROR):
+        if self._consume_fault(EngineFault.ERROR):
             return web.Response(status=HTTP_ERROR, headers=headers, text="failed")
         if request.path.startswith("/stream/"):
             return await self._stream(request, headers)
@@ -143,10 +143,10 @@
         headers["Content-Type"] = "text/event-stream"
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
-        begin = int(request.headers.get("Last-Event-Id", "0")) + 1
+        first_event = int(request.headers.get("Last-Event-Id", "0")) + 1
         try:
-            for number in range(begin, EVENTS + 1):
-                if self._take(EngineFault.CUT_IN_EVENT):
+            for number in range(first_event, EVENTS + 1):
+                if self._consume_fault(EngineFault.CUT_IN_EVENT):
                     await response.write(b"id: %d\nda" % number)
                     request.transport.close()
                     return response
@@ -157,10 +157,10 @@
             raise
         return response
 
-    async def _end_in_answer(
+    async def _crash_in_answer(
         self, request: web.Request, headers: dict[str, str]
     ) -> None:
-        """Begin to answer, and end the server."""
+        """Send the response headers, then crash the server."""
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
         self.crash()
@@ -169,7 +169,7 @@
     async def _handle_items(self, request: web.Request) -> web.Response:
         if self._expects_other(request):
             return web.Response(status=HTTP_MISDIRECTED)
-        if self._take(EngineFault.REFUSE):
+        if self._consume_fault(EngineFault.REFUSE):
             refused = {"Eelgrassward-Not-Executed": "1"}
             return web.Response(status=HTTP_UNAVAILABLE, headers=refused)
         items = msgspec.json.decode(await request.read())["Items"]
@@ -180,15 +180,15 @@
             if any(self.fatal in key for key in keys):
                 self.crash()
                 await asyncio.Event().wait()
-        return web.json_response({"Items": [self._make(item) for item in items]})
+        return web.json_response({"Items": [self._run_item(item) for item in items]})
 
-    def _make(self, item: dict) -> dict[str, str]:
-        if self._take(EngineFault.FORGET_RESULTS):
+    def _run_item(self, item: dict) -> dict[str, str]:
+        if self._consume_fault(EngineFault.FORGET_RESULTS):
             return {"Reason": "gone"}
-        if self._take(EngineFault.ERROR):
+        if self._consume_fault(EngineFault.ERROR):
             return {"Reason": "error"}
-        self._number += 1
-        handle = f"{self.address}/{self._number:x}"
+        self._last_handle_number += 1
+        handle = f"{self.address}/{self._last_handle_number:x}"
         self.results.add(handle)
         self.item_by_handle[handle] = item
         return {"Handle": handle}
--- a/packages/standins/src/eelgrass_standins/faults.py
+++ b/packages/standins/src/eelgrass_standins/faults.py
@@ -1,7 +1,7 @@
-"""Faults that a stand-in can be told to show, over its control path.
+"""Fault injection for stand-ins, set through their control path.
 
-``POST /control/faults`` with JSON replaces the faults in force, for example
-``{"path": "/v1/transactions", "action": "drop_answer", "times": 1}``.
+``POST /control/faults`` replaces the active faults by a JSON list of faults, such
+as ``[{"path": "/v1/transactions", "action": "drop_answer", "times": 1}]``.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 
 class FaultAction(Enum):
-    """What happens to a call that meets a fault."""
+    """Effect of a fault on a call."""
 
     DELAY = "delay"
     REFUSE = "refuse"
@@ -41,10 +41,10 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """A fault on the calls to ``path``, or to every path where it is empty.
+    """A fault on calls to ``path``; an empty path matches every call.
 
-    ``delay_s`` is in seconds; ``times`` is how many calls meet the fault, and
-    -1 stands for all.
+    ``times`` limits the number of affected calls; -1 means no limit. Stream faults
+    apply from chunk number ``after`` on.
     """
 
     action: FaultAction
@@ -55,22 +55,22 @@
 
 
 class Faults:
-    """The faults in force at one stand-in."""
+    """The active faults of one stand-in, with the remaining calls of each."""
 
     def __init__(self) -> None:
-        self._left: list[list[Any]] = []
+        self._remaining: list[list[Any]] = []
 
     def set(self, faults: list[Fault]) -> None:
-        """Replace all faults."""
-        self._left = [[fault, fault.times] for fault in faults]
+        """Replace the active faults."""
+        self._remaining = [[fault, fault.times] for fault in faults]
 
     def share(self, other: "Faults") -> None:
-        """Use up the same faults as another stand-in from now on."""
-        self._left = other._left
+        """Share the faults of another stand-in, with their remaining counts."""
+        self._remaining = other._remaining
 
     def take(self, path: str, *actions: FaultAction) -> Fault | None:
-        """Use up one of the faults that apply to a call, if there is any."""
-        for pair in self._left:
+        """Return the first fault that applies to a call and count it, or None."""
+        for pair in self._remaining:
             fault, times = pair
             applies = fault.path in ("", path) and fault.action in actions
             if applies and times != 0:
@@ -79,7 +79,7 @@
         return None
 
     async def before(self, request: web.Request) -> web.Response | None:
-        """Apply faults that come before the effect."""
+        """Apply the faults that strike before a call takes effect."""
         path = request.path
         if fault := self.take(path, FaultAction.DELAY):
             await asyncio.sleep(fault.delay_s)
@@ -100,7 +100,7 @@
 def refusal_response(
     request: web.Request, reason: str, headers: dict[str, str] | None = None
 ) -> web.Response:
-    """Return the answer that says that a call did not start."""
+    """Return a 503 that states that the call was not started."""
     message = {
         "error": reason,
         "started": False,
@@ -110,11 +110,11 @@
 
 
 def drop_connection(request: web.Request) -> None:
-    """Close a caller's connection without an answer."""
+    """Abort the caller's connection without an answer."""
     if request.transport is not None:
         request.transport.abort()
 
 
 async def stay_silent() -> None:
-    """Keep a connection open and say nothing."""
+    """Leave the connection open without an answer."""
     await asyncio.sleep(SILENCE_S)
--- a/packages/standins/src/eelgrass_standins/journal.py
+++ b/packages/standins/src/eelgrass_standins/journal.py
@@ -1,4 +1,4 @@
-"""What a backend server executed, for tests to compare with what was answered."""
+"""Records what a backend server executes, so that tests can check answers by it."""
 
 import time
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class Outcome(Enum):
-    """How an execution ended at the backend server."""
+    """State of an execution at the backend server."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -18,7 +18,7 @@
 
 
 class JournalEntry(msgspec.Struct):
-    """One execution. Times are monotonic seconds, ``busy_ms`` the time it used."""
+    """One execution; times are monotonic seconds, ``busy_ms`` is the work time."""
 
     attempt_id: str
     backend_id: str
@@ -42,7 +42,7 @@
     def start(
         self, attempt_id: str, operation: str, account: str, input_text: str
     ) -> JournalEntry:
-        """Record the start of an execution, the point from which it has an effect."""
+        """Record the start of an execution; from here on it may have an effect."""
         entry = JournalEntry(
             attempt_id=attempt_id,
             backend_id=self._backend_id,
@@ -55,7 +55,7 @@
         return entry
 
     def finish(self, entry: JournalEntry, outcome: Outcome) -> None:
-        """Record the end of an execution."""
+        """Record the end and the outcome of an execution."""
         entry.finished_at = time.monotonic()
         entry.outcome = outcome
 
--- a/packages/standins/src/eelgrass_standins/load.py
+++ b/packages/standins/src/eelgrass_standins/load.py
@@ -1,7 +1,7 @@
-"""Open-loop load: arrivals that do not wait for answers, and what became of them.
+"""Open-loop load generator: sends requests on schedule and summarises the results.
 
-The arrivals are made from a seed before the run, so that several policies can
-be measured on the same ones.
+The arrivals are drawn from a seed before the run, so that several policies can be
+compared on the same arrivals.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
     "summarise",
 ]
 
-CLIENT_MARGIN_S = 2.0
+CLIENT_TIMEOUT_MARGIN_S = 2.0
 
 
 class CallerClass(msgspec.Struct, frozen=True):
-    """A client account's part of the load; ``weight`` is its relative share."""
+    """Callers of one client account; ``weight`` is their relative share of the load."""
 
     account: str
     pipeline: str
@@ -39,7 +39,7 @@
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """One request: ``at`` is in seconds from the start of the run."""
+    """One scheduled request; ``at`` is in seconds from the start of the run."""
 
     at: float
     caller: CallerClass
@@ -47,7 +47,7 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """What became of an arrival; ``latency_s`` is None where no answer came."""
+    """The result of one request; ``latency_s`` is None if no answer came."""
 
     account: str
     attained: bool
@@ -56,7 +56,7 @@
 
 
 class Summary(msgspec.Struct, frozen=True):
-    """Samples of one client account, or of all, added up."""
+    """Aggregated samples of one client account, or of all accounts."""
 
     sent: int
     attained: int
@@ -67,7 +67,7 @@
 
     @property
     def attainment(self) -> float:
-        """The share of requests answered whole within their deadline."""
+        """The share of requests answered completely within their deadline."""
         return self.attained / self.sent if self.sent else 1.0
 
 
@@ -78,13 +78,13 @@
     seed: int,
     bursts: Sequence[tuple[float, float, float]] = (),
 ) -> list[Arrival]:
-    """Return Poisson arrivals at ``rate`` a second.
+    """Return Poisson arrivals at ``rate`` per second.
 
-    Each burst is its start, its length in seconds, and the factor of the rate.
+    Each burst is a tuple of start, duration (both in seconds) and rate factor.
     """
     randomness = random.Random(seed)
     weights = [caller.weight for caller in callers]
-    made: list[Arrival] = []
+    planned_arrivals: list[Arrival] = []
     at = 0.0
     while True:
         factor = max(
@@ -93,15 +93,15 @@
         )
         at += randomness.expovariate(rate * factor)
         if at >= seconds:
-            return made
+            return planned_arrivals
         (caller,) = randomness.choices(callers, weights)
-        made.append(Arrival(at, caller, len(made)))
+        planned_arrivals.append(Arrival(at, caller, len(planned_arrivals)))
 
 
 async def drive(
     client: Client, nodes: Sequence[str], planned: Sequence[Arrival]
 ) -> list[Sample]:
-    """Send the arrivals at their times to the nodes in turn."""
+    """Send each request at its time, to the nodes in round-robin order."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     tasks: list[asyncio.Task[Sample]] = []
@@ -118,7 +118,7 @@
     began = loop.time()
     limit_s = caller.deadline_ms / 1000
     try:
-        async with asyncio.timeout(limit_s + CLIENT_MARGIN_S):
+        async with asyncio.timeout(limit_s + CLIENT_TIMEOUT_MARGIN_S):
             reply = await client.call(
                 node,
                 caller.pipeline,
@@ -139,7 +139,7 @@
 
 
 def summarise(samples: Sequence[Sample]) -> Summary:
-    """Add up samples."""
+    """Aggregate samples."""
     answered = [s.latency_s for s in samples if s.reason in ("answered", "late")]
     refused = [
         s.latency_s
@@ -157,7 +157,7 @@
 
 
 def percentile(values: Sequence[float], fraction: float) -> float:
-    """Return the value below which that fraction lies, 0 where there is none."""
+    """Return the value below which ``fraction`` of the values lie; 0 if empty."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
--- a/packages/standins/src/eelgrass_standins/platform.py
+++ b/packages/standins/src/eelgrass_standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: tables, objects, the host list, the weight store."""
+"""Stand-in for the platform: tables, objects and the host list, over HTTP."""
 
 import asyncio
 import time
@@ -21,11 +21,11 @@
 
 
 class TableStandIn:
-    """Tables in memory; one consistent state, row versions that count writes.
+    """Linearizable tables in memory, whose row versions count writes.
 
-    The version of a row starts again after the row was deleted, the weakest
-    assumption that clients may have to live with. It serves directly as a
-    :class:`Table` in tests without a network.
+    The version of a row restarts once the row is deleted, which is the weakest
+    guarantee that clients may meet. Tests without a network use it directly as a
+    :class:`Table`.
     """
 
     def __init__(self) -> None:
@@ -82,20 +82,22 @@
 
 
 class RateLimit:
-    """A token bucket of ``rate`` calls a second; 0 stands for no limit."""
+    """A token bucket of ``rate`` calls per second; 0 means no limit."""
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
         self._tokens = rate
-        self._at = time.monotonic()
+        self._refilled_at = time.monotonic()
 
     def allows(self) -> bool:
-        """Take one call from the bucket; False where it is empty."""
+        """Take a token for one call; return False if the bucket is empty."""
         if not self._rate:
             return True
         now = time.monotonic()
-        self._tokens = min(self._rate, self._tokens + (now - self._at) * self._rate)
-        self._at = now
+        self._tokens = min(
+            self._rate, self._tokens + (now - self._refilled_at) * self._rate
+        )
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -134,17 +136,17 @@
         self._host_lists: deque[tuple[float, bytes]] = deque()
         self._host_lag_s = host_lag_s
         self._latency_s = latency_s
-        self._late: set[asyncio.Task] = set()
+        self._late_commits: set[asyncio.Task] = set()
 
     def set_hosts(self, hosts: list[dict[str, Any]]) -> None:
-        """Replace the true host list; all but the first are served after the lag."""
+        """Replace the host list; lists after the first are served after the lag."""
         since = time.monotonic() if self._host_lists else 0.0
         self._host_lists.append((since, msgspec.json.encode(hosts)))
 
     async def handle_commit(self, request: web.Request) -> web.Response:
         """Answer ``POST /v1/transactions``."""
         body = await request.read()
-        if refusal := await self._before(request, self._writes):
+        if refusal := await self._refusal(request, self._writes):
             return refusal
         transaction = msgspec.json.decode(body, type=Transaction)
         if fault := self.faults.take(request.path, FaultAction.LATE_EFFECT):
@@ -157,7 +159,7 @@
     async def handle_read(self, request: web.Request) -> web.Response:
         """Answer ``POST /v1/read``."""
         body = await request.read()
-        if refusal := await self._before(request, self._reads):
+        if refusal := await self._refusal(request, self._reads):
             return refusal
         query = msgspec.json.decode(body, type=_Read)
         rows = await self.table.read(query.keys)
@@ -166,15 +168,15 @@
     async def handle_scan(self, request: web.Request) -> web.Response:
         """Answer ``POST /v1/scan``."""
         body = await request.read()
-        if refusal := await self._before(request, self._reads):
+        if refusal := await self._refusal(request, self._reads):
             return refusal
         query = msgspec.json.decode(body, type=_Scan)
         rows = await self.table.scan(query.table, query.after, query.limit)
         return await self._answer(request, {"rows": rows})
 
     async def handle_hosts(self, request: web.Request) -> web.Response:
-        """Answer ``POST /v1/hosts`` with the list as it was a while ago."""
-        if refusal := await self._before(request, self._reads):
+        """Answer ``POST /v1/hosts`` with the list as of ``host_lag_s`` ago."""
+        if refusal := await self._refusal(request, self._reads):
             return refusal
         limit = time.monotonic() - self._host_lag_s
         while len(self._host_lists) > 1 and self._host_lists[1][0] <= limit:
@@ -186,7 +188,7 @@
         """Answer ``POST`` (write) and ``GET`` (read) of ``/v1/objects/{name}``."""
         limit = self._writes if request.method == "POST" else self._reads
         body = await request.read()
-        if refusal := await self._before(request, limit):
+        if refusal := await self._refusal(request, limit):
             return refusal
         name = request.match_info["name"]
         if request.method == "POST":
@@ -205,7 +207,7 @@
         """Answer ``GET /control/counts`` with the calls by path."""
         return web.json_response(self.call_counts)
 
-    async def _before(
+    async def _refusal(
         self, request: web.Request, limit: RateLimit
     ) -> web.Response | None:
         count = self.call_counts.get(request.path, 0)
@@ -232,8 +234,8 @@
             self.table.commit_now(transaction)
 
         task = asyncio.create_task(commit())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        self._late_commits.add(task)
+        task.add_done_callback(self._late_commits.discard)
 
 
 def build_platform(platform: PlatformStandIn) -> web.Application:
--- a/packages/standins/src/eelgrass_standins/ports.py
+++ b/packages/standins/src/eelgrass_standins/ports.py
@@ -1,4 +1,4 @@
-"""Free ports on the loopback address, for tests, measurements and the demo."""
+"""Finds free ports on the loopback address, for tests, benchmarks and the demo."""
 
 import random
 import socket
@@ -6,26 +6,27 @@
 __all__ = ["free_addresses"]
 
 LOOPBACK = "127.0.0.1"
-# Below the range from which the system takes the ports of outgoing connections:
-# one of those could otherwise hold a port by the time it is listened on.
+# The range lies below the system's ephemeral ports: an outgoing connection could
+# otherwise take a port before the test listens on it.
 FIRST_PORT = 10_000
 LAST_PORT = 31_000
 
-_given: set[int] = set()
+_allocated: set[int] = set()
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return that many addresses whose TCP and UDP ports are free.
+    """Return ``count`` addresses whose TCP and UDP ports are free.
 
-    No port is given twice by a process, since it may not be listened on yet.
+    A process gets each port only once, since a port that it was given may not be
+    listened on yet.
     """
     addresses: list[str] = []
     while len(addresses) < count:
         port = random.randint(FIRST_PORT, LAST_PORT)
-        if port in _given:
+        if port in _allocated:
             continue
         if _is_free(socket.SOCK_STREAM, port) and _is_free(socket.SOCK_DGRAM, port):
-            _given.add(port)
+            _allocated.add(port)
             addresses.append(f"{LOOPBACK}:{port}")
     return addresses
 
--- a/packages/standins/src/eelgrass_standins/row_store.py
+++ b/packages/standins/src/eelgrass_standins/row_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' store: rows, the feed of their changes, and faults."""
+"""Stand-in for the entry nodes' row store: rows, a change feed, and faults."""
 
 import asyncio
 import base64
@@ -13,15 +13,16 @@
 HTTP_FORBIDDEN = 403
 HTTP_GONE = 410
 HTTP_UNAVAILABLE = 503
-# The operator and the servers write to these, and the system may not.
-OTHERS_TABLES = frozenset(("op", "servers"))
+# Written only by the operator and the servers; the store refuses writes of nodes.
+READ_ONLY_TABLES = frozenset(("op", "servers"))
 
 
 class RowStoreStandIn:
-    """Keeps rows by table and key; ``down`` refuses every call.
+    """Keeps rows by table and key; while ``down`` is set it refuses every call.
 
-    ``down_tables`` are refused alone, and their waiting calls are not ended.
-    ``drop_history`` makes feeds answer that their history is gone, and
+    ``down_tables`` refuses calls for some tables only; feed calls that already wait
+    for a change keep waiting. After ``drop_history``, feeds that are behind get HTTP
+    410.
     ``calls_by_table`` counts calls.
     """
 
@@ -31,7 +32,7 @@
         self.calls_by_table: Counter[str] = Counter()
         self._rows: dict[tuple[str, str], tuple[int, bytes | None]] = {}
         self._version = 0
-        self._oldest = 0
+        self._oldest_version = 0
         self._changed = asyncio.Event()
 
     def put(self, table: str, key: str, value: Any) -> None:
@@ -39,7 +40,7 @@
         self._write(table, key, msgspec.json.encode(value))
 
     def put_raw(self, table: str, key: str, value: bytes) -> None:
-        """Write a row as it is."""
+        """Write a row with an already encoded value."""
         self._write(table, key, value)
 
     def remove(self, table: str, key: str) -> None:
@@ -47,28 +48,28 @@
         self._write(table, key, None)
 
     def drop_history(self) -> None:
-        """Forget all changes so far; those that know the newest miss one."""
+        """Discard the history of changes, also for readers at the latest version."""
         self._version += 1
-        self._oldest = self._version
-        self._wake()
+        self._oldest_version = self._version
+        self._notify_feeds()
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the calls of the store."""
+        """Add the routes of the store."""
         app.router.add_get("/-/rows-get", self._handle_get)
         app.router.add_get("/-/rows-feed", self._handle_feed)
         app.router.add_post("/-/rows-tx", self._handle_transaction)
 
     def keys(self, table: str) -> set[str]:
-        """Return the keys of the rows that a table has."""
+        """Return the keys of the existing rows of a table."""
         rows = self._rows.items()
         return {key for (name, key), (_, value) in rows if name == table and value}
 
     def _write(self, table: str, key: str, value: bytes | None) -> None:
         self._version += 1
         self._rows[table, key] = (self._version, value)
-        self._wake()
+        self._notify_feeds()
 
-    def _wake(self) -> None:
+    def _notify_feeds(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -82,7 +83,7 @@
             for (table, key), (version, value) in sorted(self._rows.items())
             if table == request.query["Table"] and key >= first and value is not None
         ]
-        return self._answer(rows)
+        return self._rows_response(rows)
 
     async def _handle_feed(self, request: web.Request) -> web.Response:
         self.calls_by_table[request.query["Table"]] += 1
@@ -91,16 +92,16 @@
         try:
             async with asyncio.timeout(deadline):
                 while not self._changed_rows(request, after):
-                    if self.down or after < self._oldest:
+                    if self.down or after < self._oldest_version:
                         break
                     await self._changed.wait()
         except TimeoutError:
             pass
         if self._is_down(request):
             return web.Response(status=HTTP_UNAVAILABLE)
-        if after < self._oldest:
+        if after < self._oldest_version:
             return web.Response(status=HTTP_GONE)
-        return self._answer(self._changed_rows(request, after))
+        return self._rows_response(self._changed_rows(request, after))
 
     async def _handle_transaction(self, request: web.Request) -> web.Response:
         transaction = msgspec.json.decode(await request.read())
@@ -109,7 +110,7 @@
         self.calls_by_table.update(tables)
         if self.down or tables & self.down_tables:
             return web.Response(status=HTTP_UNAVAILABLE)
-        if tables & OTHERS_TABLES:
+        if tables & READ_ONLY_TABLES:
             return web.Response(status=HTTP_FORBIDDEN)
         for row in transaction["Writes"]:
             self._write(row["Table"], row["Key"], base64.b64decode(row["Value"]))
@@ -129,7 +130,7 @@
         )
         return [_row(key, version, value) for version, key, value in changed]
 
-    def _answer(self, rows: list[dict[str, Any]]) -> web.Response:
+    def _rows_response(self, rows: list[dict[str, Any]]) -> web.Response:
         return web.json_response({"Rows": rows, "HasMore": False, "Ver": self._version})
 
 
--- a/packages/standins/src/eelgrass_standins/samples.py
+++ b/packages/standins/src/eelgrass_standins/samples.py
@@ -1,4 +1,4 @@
-"""Deployments, settings and a configuration at the users' sizes of today."""
+"""A sample deployment, node settings and configuration of realistic size."""
 
 import hashlib
 from collections.abc import Sequence
@@ -34,9 +34,9 @@
     step_ms: float = 4.0,
     **platform: Any,
 ) -> DeploymentSpec:
-    """Return the Association's deployment on free loopback ports.
+    """Return a sample deployment of stand-ins on free loopback ports.
 
-    ``work`` scales the time that pools and services take; 0 answers at once.
+    ``work`` scales the time of a call to pools and services; at 0 they answer at once.
     """
     specs: list[tuple[str, str, BackendKind, int, float]] = []
     for n in range(engines):
@@ -70,7 +70,7 @@
 def node_settings(
     platform: str, count: int, data_centres: Sequence[str] = DATA_CENTRES
 ) -> list[dict[str, Any]]:
-    """Return the settings of that many nodes on free loopback ports."""
+    """Return the settings of ``count`` nodes on free loopback ports."""
     addresses = free_addresses(3 * count)
     nodes = []
     for n in range(count):
--- a/tests/support/entry.py
+++ b/tests/support/entry.py
@@ -69,7 +69,13 @@
 
 def configuration(version=1, keys=(KEY,), routes=()):
     """Return a complete configuration as the operator writes it to the store."""
-    pieces = {"Batch": 4, "CallMs": 5, "ItemMs": 1, "HeadroomMb": 21, "HandleS": 4}
+    batch_limits = {
+        "Batch": 4,
+        "CallMs": 5,
+        "ItemMs": 1,
+        "HeadroomMb": 21,
+        "HandleS": 4,
+    }
     stream = {"StreamResume": True}
     return {
         "Version": version,
@@ -84,8 +90,8 @@
         "Services": [
             {"Name": "desk"},
             {"Name": "readers", "Engine": {"Slots": 64, "KvCapacity": 100_000}},
-            {"Name": "portal", "Segments": pieces},
-            {"Name": "clerks", "Segments": pieces},
+            {"Name": "portal", "Segments": batch_limits},
+            {"Name": "clerks", "Segments": batch_limits},
         ],
         "Limits": {"MaxBodyBytes": 65_536, "IdleTimeoutMs": 15_000},
         "Tenants": [{"Name": "account-1", "ApiKeys": list(keys)}],
--- a/tests/support/history.py
+++ b/tests/support/history.py
@@ -108,11 +108,11 @@
 
 def _is_complete(call: Call, reply: Reply) -> bool:
     if isinstance(reply.body, list):
-        *pieces, final = reply.body
+        *chunks, final = reply.body
         if not final.get("complete"):
             return "problem" in final
-        text = "".join(piece["text"] for piece in pieces)
-        numbers = [piece["seq"] for piece in pieces]
+        text = "".join(chunk["text"] for chunk in chunks)
+        numbers = [chunk["seq"] for chunk in chunks]
         in_sequence = numbers == list(range(final["count"]))
         return in_sequence and final["answer"]["output"]["text"] == text
     if not reply.body.get("complete"):
--- a/tests/support/platform_soak.py
+++ b/tests/support/platform_soak.py
@@ -48,9 +48,9 @@
     """One run from a seed with the faults of a profile."""
 
     def __init__(
-        self, deployment: SoakDeployment, seed: int, harm: FaultProfile
+        self, deployment: SoakDeployment, seed: int, profile: FaultProfile
     ) -> None:
-        self.planned = harm is FaultProfile.PLANNED
+        self.planned = profile is FaultProfile.PLANNED
         self.random = random.Random(seed)
         self._call_random = random.Random(f"calls of {seed}")
         self._probe_random = random.Random(f"probes of {seed}")
@@ -77,18 +77,18 @@
             self._engine_silent,
             self._engine_fault,
         ]
-        self._harm = harm
-        self._kinds = {
+        self._profile = profile
+        self._fault_kinds = {
             FaultProfile.PLANNED: planned,
             FaultProfile.ALL: [*planned, self._kill, self._pause, *store, *engines],
             FaultProfile.DELAYED_UPDATES: [self._version, *store],
-        }[harm]
+        }[profile]
 
     async def run(self, seconds: float, concurrent_faults: int = 3) -> None:
         """Send calls and inject faults for ``seconds``, then remove all faults."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
-        if self._harm is FaultProfile.DELAYED_UPDATES:
+        if self._profile is FaultProfile.DELAYED_UPDATES:
             self._put_version()
         injectors = [self._inject_faults(end) for _ in range(concurrent_faults)]
         await asyncio.gather(self._call_all(end), self._probe_all(end), *injectors)
@@ -141,7 +141,7 @@
         loop = asyncio.get_running_loop()
         while loop.time() < end:
             await asyncio.sleep(self.random.uniform(0.1, 1.0))
-            kind = self.random.choice(self._kinds)
+            kind = self.random.choice(self._fault_kinds)
             self.log.append(f"{loop.time() - self._began:6.2f} {kind.__name__[1:]}")
             await kind()
 
