--- a/tests/support/platform_soak.py
+++ b/tests/support/platform_soak.py
@@ -1,6 +1,6 @@
-"""Runs the platform's program as processes and harms them, as drawn from a seed.
+"""Runs entry nodes as processes under load and injects faults drawn from a seed.
 
-What may not come of it stands in ``soak_checks``.
+The guarantees that must hold during a run are checked in ``soak_checks``.
 """
 
 import asyncio
@@ -11,33 +11,33 @@
 
 import msgspec
 
-from eelgrass_standins.users_engines import EngineFault
+from eelgrass_standins.entry_engines import EngineFault
 from support.entry import configuration, route
 from support.fault_proxy import Direction, FaultProxy
 from support.soak_deployment import Call, SoakDeployment, SoakNode
 
-__all__ = ["Harm", "Probe", "Soak"]
+__all__ = ["FaultProfile", "Probe", "Soak"]
 
 KINDS = ("safe", "once", "stream/resumed", "stream/single", "stream/staged")
 CALLS_PER_S = 40
-# A version is in force after 2 s, with the time that a busy machine takes on top.
+# A version must be in force within 2 s; the rest allows for a busy machine.
 APPLY_S = 3.0
-# Between two looks at which version a node has in force.
+# Interval between probes of the version that a node has in force.
 PROBE_EVERY_S = 0.2
-# Until then the interpreter itself starts, and no program could take a signal.
+# Start-up time of the interpreter, in which no program can handle a signal yet.
 INTERPRETER_S = 0.25
 
 
-class Harm(Enum):
-    """What a run does: only what is planned, all there is, or what delays news."""
+class FaultProfile(Enum):
+    """Faults of a run: planned operations, all, or those that delay table updates."""
 
     PLANNED = "planned"
     ALL = "all"
-    NEWS = "news"
+    DELAYED_UPDATES = "news"
 
 
 class Probe(msgspec.Struct, frozen=True):
-    """What a node said of a version's route, which it must know by now."""
+    """A node's answer on the route of a version that must be in force by now."""
 
     node: str
     version: int
@@ -45,10 +45,12 @@
 
 
 class Soak:
-    """One run from a seed, with some kind of harm."""
+    """One run from a seed with the faults of a profile."""
 
-    def __init__(self, deployment: SoakDeployment, seed: int, harm: Harm) -> None:
-        self.planned = harm is Harm.PLANNED
+    def __init__(
+        self, deployment: SoakDeployment, seed: int, profile: FaultProfile
+    ) -> None:
+        self.planned = profile is FaultProfile.PLANNED
         self.random = random.Random(seed)
         self._call_random = random.Random(f"calls of {seed}")
         self._probe_random = random.Random(f"probes of {seed}")
@@ -75,29 +77,29 @@
             self._engine_silent,
             self._engine_fault,
         ]
-        self._harm = harm
-        self._kinds = {
-            Harm.PLANNED: planned,
-            Harm.ALL: [*planned, self._kill, self._pause, *store, *engines],
-            Harm.NEWS: [self._version, *store],
-        }[harm]
-
-    async def run(self, seconds: float, troubles: int = 3) -> None:
-        """Call and disturb for so long, then let all recover."""
+        self._profile = profile
+        self._fault_kinds = {
+            FaultProfile.PLANNED: planned,
+            FaultProfile.ALL: [*planned, self._kill, self._pause, *store, *engines],
+            FaultProfile.DELAYED_UPDATES: [self._version, *store],
+        }[profile]
+
+    async def run(self, seconds: float, concurrent_faults: int = 3) -> None:
+        """Send calls and inject faults for ``seconds``, then remove all faults."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
-        if self._harm is Harm.NEWS:
+        if self._profile is FaultProfile.DELAYED_UPDATES:
             self._put_version()
-        troublemakers = [self._disturb(end) for _ in range(troubles)]
-        await asyncio.gather(self._call_all(end), self._probe_all(end), *troublemakers)
+        injectors = [self._inject_faults(end) for _ in range(concurrent_faults)]
+        await asyncio.gather(self._call_all(end), self._probe_all(end), *injectors)
         for proxy in self._deployment.engine_proxies.values():
             proxy.heal()
         for node in self._deployment.soak_nodes:
             node.store.heal()
         self._deployment.store.down = False
 
-    async def recovered(self) -> list[str]:
-        """Return what does not work again, after the time to recover."""
+    async def unrecovered(self) -> list[str]:
+        """Return a message per route not served again after the recovery time."""
         self._put_version()
         await asyncio.sleep(APPLY_S)
         found = []
@@ -120,7 +122,7 @@
         self.calls = list(await asyncio.gather(*tasks))
 
     async def _probe_all(self, end: float) -> None:
-        """Ask calm nodes for the newest route, once it must be in force."""
+        """Probe undisturbed nodes for the newest route that must be in force."""
         loop = asyncio.get_running_loop()
         while loop.time() < end:
             await asyncio.sleep(PROBE_EVERY_S)
@@ -128,18 +130,18 @@
             node = self._deployment.soak_nodes[number]
             since = loop.time() - APPLY_S
             in_force = [v for v, at in self._put_at_by_version.items() if at <= since]
-            if not in_force or not node.calm_since(since):
+            if not in_force or not node.undisturbed_since(since):
                 continue
             version = max(in_force)
             call = await self._deployment.call(number, f"added-{version}")
-            if node.calm_since(since):
+            if node.undisturbed_since(since):
                 self.probes.append(Probe(node.name, version, call.status))
 
-    async def _disturb(self, end: float) -> None:
+    async def _inject_faults(self, end: float) -> None:
         loop = asyncio.get_running_loop()
         while loop.time() < end:
             await asyncio.sleep(self.random.uniform(0.1, 1.0))
-            kind = self.random.choice(self._kinds)
+            kind = self.random.choice(self._fault_kinds)
             self.log.append(f"{loop.time() - self._began:6.2f} {kind.__name__[1:]}")
             await kind()
 
@@ -149,16 +151,16 @@
     def _proxy(self) -> FaultProxy:
         return self.random.choice(list(self._deployment.engine_proxies.values()))
 
-    async def _some_time(self, least: float = 0.3, most: float = 2.0) -> None:
+    async def _random_pause(self, least: float = 0.3, most: float = 2.0) -> None:
         await asyncio.sleep(self.random.uniform(least, most))
 
-    def _harmed(self, node: SoakNode) -> None:
-        node.harmed_until = asyncio.get_running_loop().time()
+    def _mark_disturbed(self, node: SoakNode) -> None:
+        node.disturbed_until = asyncio.get_running_loop().time()
 
     async def _kill(self) -> None:
         node = self._node()
-        await node.end(signal.SIGKILL)
-        self._harmed(node)
+        await node.stop_and_restart(signal.SIGKILL)
+        self._mark_disturbed(node)
 
     async def _pause(self) -> None:
         node = self._node()
@@ -166,13 +168,13 @@
             return
         with node.faulty():
             node.process.signal(signal.SIGSTOP)
-            await self._some_time()
+            await self._random_pause()
             if node.process.running():
                 node.process.signal(signal.SIGCONT)
-        self._harmed(node)
+        self._mark_disturbed(node)
 
     async def _term(self) -> None:
-        await self._node().end(signal.SIGTERM)
+        await self._node().stop_and_restart(signal.SIGTERM)
 
     async def _hup(self) -> None:
         node = self._node()
@@ -202,7 +204,7 @@
         leaving = self.random.choice(staying)
         self.left_at[leaving.server_id] = asyncio.get_running_loop().time()
         self._deployment.list_engine(service, leaving, "draining")
-        await self._some_time(3.0, 4.0)
+        await self._random_pause(3.0, 4.0)
         self._deployment.store.remove("servers", leaving.server_id)
 
     async def _store_down(self) -> None:
@@ -210,21 +212,21 @@
             for node in self._deployment.soak_nodes:
                 stack.enter_context(node.faulty())
             self._deployment.store.down = True
-            await self._some_time()
+            await self._random_pause()
             self._deployment.store.down = False
 
     async def _store_cut(self) -> None:
         node = self._node()
         with node.faulty():
             node.store.blocked = {self.random.choice(list(Direction))}
-            await self._some_time()
+            await self._random_pause()
             node.store.heal()
 
     async def _store_slow(self) -> None:
         node = self._node()
         with node.faulty():
             node.store.delay_s = self.random.uniform(0.05, 0.5)
-            await self._some_time()
+            await self._random_pause()
             node.store.heal()
 
     async def _store_silent(self) -> None:
@@ -241,13 +243,13 @@
     async def _engine_slow(self) -> None:
         proxy = self._proxy()
         proxy.delay_s = self.random.uniform(0.02, 0.2)
-        await self._some_time()
+        await self._random_pause()
         proxy.heal()
 
     async def _engine_cut(self) -> None:
         proxy = self._proxy()
         proxy.blocked = {self.random.choice(list(Direction))}
-        await self._some_time()
+        await self._random_pause()
         proxy.heal()
 
     async def _engine_silent(self) -> None:
--- a/tests/test_large_configuration.py
+++ b/tests/test_large_configuration.py
@@ -17,7 +17,7 @@
 
 from support.entry import configuration, route, until
 from support.fault_proxy import Direction
-from support.narrow_links import IN_FORCE_S, NarrowLinks, large_configuration
+from support.narrow_links import IN_FORCE_S, NarrowLinkDeployment, large_configuration
 
 ROUTES = 1564
 # A link of 5 Mbit/s.
@@ -30,14 +30,16 @@
 @pytest.fixture
 async def narrow():
     """Start nodes with narrow links; the large configuration is not yet stored."""
-    async with NarrowLinks(NODES, LINK_BYTES_PER_S) as deployment:
+    async with NarrowLinkDeployment(NODES, LINK_BYTES_PER_S) as deployment:
         yield deployment
 
 
 @pytest.fixture
 async def mixed():
     """Start a high-capacity node, which is the relay, and others with narrow links."""
-    async with NarrowLinks(NODES, LINK_BYTES_PER_S, strong_nodes=1) as deployment:
+    async with NarrowLinkDeployment(
+        NODES, LINK_BYTES_PER_S, high_capacity_nodes=1
+    ) as deployment:
         yield deployment
 
 
@@ -99,7 +101,7 @@
 
     @pytest.fixture
     async def behind(self):
-        async with NarrowLinks(3, LINK_BYTES_PER_S) as deployment:
+        async with NarrowLinkDeployment(3, LINK_BYTES_PER_S) as deployment:
             deployment.store_proxies[0].blocked.add(Direction.TO_CLIENT)
             for proxy in deployment.node_proxies[1:]:
                 proxy.blocked.add(Direction.TO_CLIENT)
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -8,8 +8,8 @@
 from eelgrass_coordination.ids import BackendId
 from eelgrass_node.process.backends import ServerIncarnation
 from eelgrass_node.process.crash_detector import Fingerprint
-from support.entry import WHOLE, until
-from support.poison import POISON, EndingServers
+from support.entry import COMPLETE_STREAM, until
+from support.poison import POISON, CrashingServers
 
 # A request that has crashed this many servers is sent to no other server.
 MAX_CRASHES = 3
@@ -17,7 +17,7 @@
 PROPAGATION_S = 0.5
 
 
-class PoisonedDeployment(EndingServers):
+class PoisonedDeployment(CrashingServers):
     """Three nodes and four servers of each service; ``POISON`` crashes a server."""
 
     def __init__(self, nodes=3, servers=4, **options):
@@ -50,7 +50,7 @@
         self, poisoned, target
     ):
         await poisoned.attempts(12, target)
-        assert 0 < len(poisoned.ended) <= MAX_CRASHES
+        assert 0 < len(poisoned.crashed) <= MAX_CRASHES
 
     async def test_it_is_refused_at_once_and_does_not_run(self, poisoned):
         """Each node refuses it with a Retry-After header."""
@@ -68,33 +68,33 @@
         await poisoned.attempts(8)
         for node in range(3):
             status, _, body = await poisoned.ask("/stream/single/x", node)
-            assert (status, body) == (200, WHOLE)
+            assert (status, body) == (200, COMPLETE_STREAM)
         for node in range(3):
             status, _, body = await poisoned.ask("/stream/single/y", node)
-            assert (status, body) == (200, WHOLE)
+            assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_nodes_without_peers_learn_of_crashes_from_the_store(self, poisoned):
         for node in poisoned.nodes:
             node.poison_requests.gossip._announce = lambda marks: None
             node.membership.members.reachable = lambda: []
         await poisoned.attempts(8)
-        assert 0 < len(poisoned.ended) <= MAX_CRASHES
+        assert 0 < len(poisoned.crashed) <= MAX_CRASHES
 
     async def test_nodes_learn_of_crashes_from_peers_if_the_store_is_down(
         self, poisoned
     ):
         poisoned.store.down = True
         await poisoned.attempts(8)
-        assert 0 < len(poisoned.ended) <= MAX_CRASHES
+        assert 0 < len(poisoned.crashed) <= MAX_CRASHES
 
     async def test_a_node_that_starts_later_refuses_it(self, poisoned):
         await poisoned.attempts(6)
-        ended = len(poisoned.ended)
+        ended = len(poisoned.crashed)
         node = await poisoned.add_node()
         await until(lambda: node.ready)
         await asyncio.sleep(PROPAGATION_S)
         await poisoned.attempt(3)
-        assert len(poisoned.ended) == ended
+        assert len(poisoned.crashed) == ended
 
 
 class TestStages:
@@ -112,7 +112,7 @@
             )
             assert status == 503
             await asyncio.sleep(PROPAGATION_S)
-        assert 0 < len(poisoned.ended) <= MAX_CRASHES
+        assert 0 < len(poisoned.crashed) <= MAX_CRASHES
 
     async def test_no_stage_starts_once_its_request_is_quarantined(self, poisoned):
         """Other copies of it crash the third server while this copy is in flight."""
@@ -146,7 +146,7 @@
                 # All its attempts were used up during a stream.
                 continue
             if status == 200:
-                assert body == WHOLE
+                assert body == COMPLETE_STREAM
                 return quarantined
             quarantined |= b"servers have ended" in body
             await asyncio.sleep(min(0.5, float(headers.get("Retry-After", 0.1))))
@@ -171,7 +171,7 @@
                 quarantined += await asyncio.gather(*sent)
             await poisoning
             # Copies in flight as the third server crashes may each crash one more.
-            assert len(deployment.ended) <= MAX_CRASHES + self.COPIES - 1
+            assert len(deployment.crashed) <= MAX_CRASHES + self.COPIES - 1
             assert not any(quarantined)
             for node in deployment.nodes:
                 assert node.poison_requests.quarantine.quarantined_count() == 1
--- a/tests/test_users_platform.py
+++ b/tests/test_users_platform.py
@@ -7,12 +7,12 @@
 
 from eelgrass_node.process import platform_tables, table_relay
 from eelgrass_node.request import request_execution
-from eelgrass_standins.users_engines import EngineFault
+from eelgrass_standins.entry_engines import EngineFault
 from support.connections import connect
 from support.entry import (
+    COMPLETE_STREAM,
     HOST,
     KEY,
-    WHOLE,
     EntryDeployment,
     hanging_listener,
     until,
@@ -119,9 +119,9 @@
             entry.list_engine("portal", engine)
         await entry.ask("/stream/staged/x", request_id="second", **SEGMENTS)
         status, _, body = await asking
-        assert (status, body) == (200, WHOLE)
-        made = {handle: i for e in portal for handle, i in e.made_by_handle.items()}
-        for item in [i for e in clerks for i in e.made_by_handle.values()]:
+        assert (status, body) == (200, COMPLETE_STREAM)
+        made = {handle: i for e in portal for handle, i in e.item_by_handle.items()}
+        for item in [i for e in clerks for i in e.item_by_handle.values()]:
             used = [made[handle] for handle in item["Inputs"]]
             assert [(u["Id"], u["Phase"]) for u in used] == [(item["Id"], 1)]
 
@@ -136,7 +136,7 @@
         serving.restart()
         entry.list_engine("readers", serving)
         status, _, body = await asking
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
         assert len(entry.runs("readers")) == 2
 
     async def test_unreadable_entries_do_not_affect_the_others(self, entry):
@@ -212,13 +212,13 @@
 class TestStreams:
     async def test_events_are_forwarded(self, entry):
         status, headers, body = await entry.ask("/stream/resumed/x")
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
         assert headers["Content-Type"] == "text/event-stream"
 
     async def test_a_broken_stream_is_resumed_elsewhere(self, entry):
         fault(entry, "readers", EngineFault.CUT_IN_EVENT)
         status, _, body = await entry.ask("/stream/resumed/x")
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_a_broken_stream_without_resume_does_not_look_complete(self, entry):
         fault(entry, "readers", EngineFault.CUT_IN_EVENT)
@@ -266,7 +266,7 @@
 class TestStages:
     async def test_each_item_runs_once_and_its_result_is_freed(self, entry):
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
         made = {service: self.items(entry, service) for service in ("portal", "clerks")}
         assert made["portal"] == [(0, 0), (0, 1), (1, 0)]
         assert made["clerks"] == [(2, n) for n in range(5)]
@@ -313,30 +313,30 @@
     async def test_missing_results_are_recomputed(self, entry):
         fault(entry, "readers", EngineFault.FORGET_RESULTS)
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_missing_inputs_are_recomputed(self, entry):
         fault(entry, "clerks", EngineFault.FORGET_RESULTS)
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_a_failed_item_is_run_again(self, entry):
         fault(entry, "portal", EngineFault.ERROR)
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_an_owner_without_servers_takes_no_items(self, entry):
         """A node that has just started is a member before it reads the server list."""
         entry.nodes[1].backends.update([])
         for _ in range(3):
             status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-            assert (status, body) == (200, WHOLE)
+            assert (status, body) == (200, COMPLETE_STREAM)
 
     async def test_a_dead_queue_owner_costs_less_than_one_second(self, entry):
         await entry.nodes[1].close()
         began = asyncio.get_running_loop().time()
         status, _, body = await entry.ask("/stream/staged/x", **SEGMENTS)
-        assert (status, body) == (200, WHOLE)
+        assert (status, body) == (200, COMPLETE_STREAM)
         assert asyncio.get_running_loop().time() - began < 1.0
 
     # Guards against a queue owner that counts its servers as full for seconds, after
