--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -322,7 +322,7 @@
             free_results=self.shared_queues.results.free,
             final_call_latency=self.final_call_latency,
             retries=self.retries,
-            reach=self.reach,
+            reachability=self.reach,
             on_server_replaced=self._server_replaced,
             on_server_failing=self.failing.announce_failure,
             poison=self.poison,
--- a/packages/node/src/eelgrass_node/process/batch_queue.py
+++ b/packages/node/src/eelgrass_node/process/batch_queue.py
@@ -69,7 +69,7 @@
         service: str,
         limits: Callable[[], BatchLimits],
         servers: Callable[[], list[Backend]],
-        reach: DataCentreReachability,
+        reachability: DataCentreReachability,
         data_centre_of: Callable[[str], str],
         has_ended: Callable[[ServerIncarnation], bool],
         run_call: RunCall,
@@ -80,7 +80,7 @@
         self.service = service
         self._limits = limits
         self._servers = QueueServers(
-            service, limits, servers, reach, data_centre_of, has_ended
+            service, limits, servers, reachability, data_centre_of, has_ended
         )
         self._order = ItemOrder(limits, self._servers)
         self._run_call = run_call
--- a/packages/node/src/eelgrass_node/process/local_queues.py
+++ b/packages/node/src/eelgrass_node/process/local_queues.py
@@ -42,7 +42,7 @@
         backends: Backends,
         deployment: Callable[[], Deployment | None],
         retries: RetryBudgets,
-        reach: DataCentreReachability,
+        reachability: DataCentreReachability,
         run_call: RunCall,
         free_call: FreeCall,
         producer_of: Callable[[str], str],
@@ -53,7 +53,7 @@
         self._backends = backends
         self._deployment = deployment
         self._retries = retries
-        self._reach = reach
+        self._reachability = reachability
         self._run_call = run_call
         self._free_call = free_call
         self._producer_of = producer_of
@@ -115,7 +115,7 @@
                 service,
                 lambda: self._limits(service),
                 lambda: self._usable(service),
-                self._reach,
+                self._reachability,
                 self.data_centre_of,
                 self._backends.has_ended,
                 self._call,
--- a/packages/node/src/eelgrass_node/process/queue_owners.py
+++ b/packages/node/src/eelgrass_node/process/queue_owners.py
@@ -42,14 +42,14 @@
         data_centre: DataCentre,
         capacity: float,
         members: Callable[[], list[Member]],
-        reach: DataCentreReachability,
+        reachability: DataCentreReachability,
         clock: Callable[[], float],
     ) -> None:
         self._own = own
         self._data_centre = data_centre
         self._capacity = capacity
         self._members = members
-        self._reach = reach
+        self._reachability = reachability
         self._clock = clock
         self._backed_off_until: dict[NodeId, float] = {}
         self._failures: Counter[NodeId] = Counter()
@@ -81,7 +81,7 @@
 
         Calls that fail together, such as those to a frozen node, count as one failure.
         """
-        self._reach.record_timeout(owner.data_centre, owner.id)
+        self._reachability.record_timeout(owner.data_centre, owner.id)
         if self.is_backed_off(owner):
             return
         backoff_s = min(MAX_BACKOFF_S, BACKOFF_S * 2 ** self._failures[owner.id])
@@ -96,7 +96,7 @@
         """End the backoff of a node that answered."""
         self._failures.pop(owner.id, None)
         self._backed_off_until.pop(owner.id, None)
-        self._reach.record_answer(owner.data_centre)
+        self._reachability.record_answer(owner.data_centre)
 
     def _owner_among(self, members: list[Member], service: str) -> Member | None:
         """Return the owner among ``members`` and this node; None is this node."""
@@ -113,6 +113,6 @@
         return self._own if member is None else member.id
 
     def _is_available(self, member: Member) -> bool:
-        if self._reach.is_suspected(member.data_centre):
+        if self._reachability.is_suspected(member.data_centre):
             return False
         return not self.is_backed_off(member)
--- a/packages/node/src/eelgrass_node/process/queue_servers.py
+++ b/packages/node/src/eelgrass_node/process/queue_servers.py
@@ -51,14 +51,14 @@
         service: str,
         limits: Callable[[], BatchLimits],
         listed: Callable[[], list[Backend]],
-        reach: DataCentreReachability,
+        reachability: DataCentreReachability,
         data_centre_of: Callable[[str], str],
         has_ended: Callable[[ServerIncarnation], bool],
     ) -> None:
         self.service = service
         self._limits = limits
         self._listed = listed
-        self._reach = reach
+        self._reachability = reachability
         self._data_centre_of = data_centre_of
         self._has_ended = has_ended
         self._use_by_incarnation: dict[ServerIncarnation, ServerUse] = {}
@@ -66,7 +66,7 @@
 
     def healthy(self) -> Sequence[Backend]:
         """Return the healthy servers, or the best there are if none is healthy."""
-        return self._reach.healthiest(self._listed())
+        return self._reachability.healthiest(self._listed())
 
     def use(self, server: Backend) -> ServerUse:
         """Return how the queue uses a server."""
@@ -146,7 +146,7 @@
         if any(self._has_ended(producer) for producer in item.producers):
             return True
         return any(
-            self._reach.is_suspected(data_centre)
+            self._reachability.is_suspected(data_centre)
             for data_centre in self._input_data_centres(item)
         )
 
@@ -163,7 +163,7 @@
         if ItemFailure.TIMED_OUT in failures:
             self._on_timeout(server, batch)
         else:
-            self._reach.record_answer(server.entry.data_centre)
+            self._reachability.record_answer(server.entry.data_centre)
         if ItemFailure.UNREACHABLE not in failures:
             use.record_call(took_s / self.call_s(len(batch)), _now())
         # A healthy server fails single items now and then, so it is only suspected if
@@ -224,8 +224,8 @@
             for data_centre in self._input_data_centres(item) - {
                 server.entry.data_centre
             }:
-                self._reach.record_timeout(data_centre, item.inputs[0])
-        self._reach.record_timeout(server.entry.data_centre, server.entry.id)
+                self._reachability.record_timeout(data_centre, item.inputs[0])
+        self._reachability.record_timeout(server.entry.data_centre, server.entry.id)
 
     def _may_block_on_inputs(
         self, server: Backend, batch: list[BatchItem], failures: set[ItemFailure | None]
--- a/packages/node/src/eelgrass_node/process/reachability_checks.py
+++ b/packages/node/src/eelgrass_node/process/reachability_checks.py
@@ -43,12 +43,12 @@
     def __init__(
         self,
         own: str,
-        reach: DataCentreReachability,
+        reachability: DataCentreReachability,
         members: Callable[[], list[Member]],
         probe: Callable[[Member], None],
     ) -> None:
         self._own = own
-        self._reach = reach
+        self._reachability = reachability
         self._members = members
         self._probe = probe
         self._answered: set[str] = set()
@@ -57,7 +57,7 @@
     def record_ack(self, member: Member) -> None:
         """Record that a member has answered a probe."""
         self._answered.add(member.data_centre)
-        self._reach.record_answer(member.data_centre)
+        self._reachability.record_answer(member.data_centre)
 
     def check(self, data_centre: str) -> None:
         """Start to check a data centre, unless a check is running."""
@@ -78,7 +78,7 @@
         for other in {member.data_centre for member in self._members()}:
             self.check(other)
         for _ in range(round(MAX_SUSPICION_S / PROBE_INTERVAL_S)):
-            self._reach.suspect(data_centre, 2 * PROBE_INTERVAL_S)
+            self._reachability.suspect(data_centre, 2 * PROBE_INTERVAL_S)
             if await self._is_answering(data_centre, PROBE_INTERVAL_S):
                 return
 
--- a/packages/node/src/eelgrass_node/process/server_choice.py
+++ b/packages/node/src/eelgrass_node/process/server_choice.py
@@ -39,12 +39,12 @@
         self,
         backends: Backends,
         data_centre: DataCentre,
-        reach: DataCentreReachability,
+        reachability: DataCentreReachability,
         deployment: Callable[[], Deployment | None],
     ) -> None:
         self._backends = backends
         self._data_centre = data_centre
-        self._reach = reach
+        self._reachability = reachability
         self._deployment = deployment
 
     def choose(self, criteria: ServerCriteria) -> Backend | None:
@@ -52,7 +52,7 @@
         now = asyncio.get_running_loop().time()
         usable = self._backends.usable(criteria.service)
         allowed = [server for server in usable if server.is_in(criteria.regions)]
-        servers = self._reach.healthiest(allowed, criteria.tried)
+        servers = self._reachability.healthiest(allowed, criteria.tried)
         if not servers:
             return None
         deployment = self._deployment()
@@ -91,6 +91,6 @@
         )
         if found is None or found.suspect_until > now:
             return None
-        if self._reach.is_suspected(found.entry.data_centre):
+        if self._reachability.is_suspected(found.entry.data_centre):
             return None
         return found
--- a/packages/node/src/eelgrass_node/request/request_execution.py
+++ b/packages/node/src/eelgrass_node/request/request_execution.py
@@ -140,7 +140,7 @@
                 self._routed.route.name, self._elapsed_s()
             )
         while True:
-            inputs_unreachable = self._context.reach.is_suspected(
+            inputs_unreachable = self._context.reachability.is_suspected(
                 self._inputs_data_centre()
             )
             if inputs_unreachable or self._graph.has_lost_results():
@@ -238,7 +238,7 @@
             if routed.route.stages:
                 took_s = running_time() - self._staged_running_s
                 self._context.final_call_latency.record(routed.route.name, took_s)
-            self._context.reach.record_answer(backend.entry.data_centre)
+            self._context.reachability.record_answer(backend.entry.data_centre)
             if head.load is not None:
                 backend.record_load(head.load[0], head.load[1])
             if routed.route.kind is RouteKind.STREAM and head.status < 300:
@@ -309,7 +309,7 @@
         if failed.reason is RetryReason.CONNECTION_SILENT:
             backend.connections.replace()
         if failed.reason in TIMEOUT_REASONS:
-            self._context.reach.record_timeout(
+            self._context.reachability.record_timeout(
                 backend.entry.data_centre, backend.entry.id
             )
         log(
--- a/packages/node/src/eelgrass_node/request/serving_context.py
+++ b/packages/node/src/eelgrass_node/request/serving_context.py
@@ -41,7 +41,7 @@
     free_results: FreeResults
     final_call_latency: FinalCallLatency
     retries: RetryBudgets
-    reach: DataCentreReachability
+    reachability: DataCentreReachability
     on_server_replaced: Callable[[Backend], None]
     on_server_failing: Callable[[Backend], None]
     poison: PoisonRequests
--- a/packages/node/tests/test_owner_checks.py
+++ b/packages/node/tests/test_owner_checks.py
@@ -18,9 +18,9 @@
     def __init__(self, stalls_for_s):
         loop = asyncio.get_running_loop()
         self._recovers_at = loop.time() + stalls_for_s
-        reach = DataCentreReachability(DataCentre("a"), loop.time)
+        reachability = DataCentreReachability(DataCentre("a"), loop.time)
         self.owners = QueueOwners(
-            NodeId("n0"), DataCentre("a"), 0.0, lambda: [OWNER], reach, loop.time
+            NodeId("n0"), DataCentre("a"), 0.0, lambda: [OWNER], reachability, loop.time
         )
         self.checks = OwnerChecks(self.owners, self._probe)
         self.probes = 0
--- a/packages/node/tests/test_reachability_checks.py
+++ b/packages/node/tests/test_reachability_checks.py
@@ -21,11 +21,11 @@
         self.probed = []
         self.members = [member(n, dc) for dc, names in NODES.items() for n in names]
         loop = asyncio.get_running_loop()
-        self.reach = DataCentreReachability(DataCentre("a"), loop.time)
+        self.reachability = DataCentreReachability(DataCentre("a"), loop.time)
         self.checks = ReachabilityChecks(
-            "a", self.reach, lambda: self.members, self.probe
+            "a", self.reachability, lambda: self.members, self.probe
         )
-        self.reach.on_timeout = self.checks.check
+        self.reachability.on_timeout = self.checks.check
 
     def probe(self, to):
         self.probed.append(to.id)
@@ -33,7 +33,7 @@
             asyncio.get_running_loop().call_soon(self.checks.record_ack, to)
 
     def suspected(self):
-        return {dc for dc in NODES if self.reach.is_suspected(dc)}
+        return {dc for dc in NODES if self.reachability.is_suspected(dc)}
 
 
 @pytest.fixture(autouse=True)
@@ -45,7 +45,7 @@
 class TestReachChecks:
     async def test_one_timeout_suspects_nothing_if_nodes_answer(self):
         network = Network()
-        network.reach.record_timeout("b", "server")
+        network.reachability.record_timeout("b", "server")
         await asyncio.sleep(0.1)
         assert network.suspected() == set()
         assert len(network.probed) <= reachability_checks.MAX_PROBED
@@ -54,14 +54,14 @@
         """Each call that finds out for itself takes up to a second and an attempt."""
         network = Network()
         network.cut = {"b"}
-        network.reach.record_timeout("b", "server")
+        network.reachability.record_timeout("b", "server")
         await asyncio.sleep(0.03)
         assert network.suspected() == {"b"}
 
     async def test_a_node_that_is_cut_off_itself_suspects_all_others(self):
         network = Network()
         network.cut = {"b", "c", "d"}
-        network.reach.record_timeout("b", "server")
+        network.reachability.record_timeout("b", "server")
         await asyncio.sleep(0.05)
         assert network.suspected() >= {"b", "c"}
 
@@ -69,7 +69,7 @@
         """A suspicion that expired earlier caused the same timeouts again."""
         network = Network()
         network.cut = {"b"}
-        network.reach.record_timeout("b", "server")
+        network.reachability.record_timeout("b", "server")
         for _ in range(20):
             await asyncio.sleep(0.03)
             assert network.suspected() == {"b"}
@@ -84,10 +84,10 @@
         """It may be down or suspended while the servers beside it are healthy."""
         network = Network()
         network.cut = {"d"}
-        network.reach.record_timeout("d", "server")
+        network.reachability.record_timeout("d", "server")
         await asyncio.sleep(0.1)
         assert network.suspected() == set()
-        network.reach.record_timeout("d", "another")
+        network.reachability.record_timeout("d", "another")
         assert network.suspected() == {"d"}
         assert FIRST_SUSPICION_S < 2.0
 
@@ -96,7 +96,7 @@
         monkeypatch.setattr(reachability_checks, "MAX_SUSPICION_S", 0.15)
         network = Network()
         network.cut = {"b"}
-        network.reach.record_timeout("b", "server")
+        network.reachability.record_timeout("b", "server")
         await asyncio.sleep(0.4)
         assert network.suspected() == set()
 
--- a/packages/node/tests/test_serving_parts.py
+++ b/packages/node/tests/test_serving_parts.py
@@ -72,50 +72,50 @@
 
 
 class TestReachability:
-    def reach(self):
+    def reachability(self):
         clock = Clock()
         return DataCentreReachability(DataCentre("a"), clock), clock
 
     def test_timeouts_of_two_servers_are_needed_at_first(self):
-        reach, clock = self.reach()
-        reach.record_timeout("b", "x")
-        reach.record_timeout("b", "x")
-        assert not reach.is_suspected("b")
-        reach.record_timeout("b", "y")
-        assert reach.is_suspected("b")
+        reachability, clock = self.reachability()
+        reachability.record_timeout("b", "x")
+        reachability.record_timeout("b", "x")
+        assert not reachability.is_suspected("b")
+        reachability.record_timeout("b", "y")
+        assert reachability.is_suspected("b")
 
     def test_an_answer_ends_the_suspicion(self):
-        reach, clock = self.reach()
+        reachability, clock = self.reachability()
         for name in "xy":
-            reach.record_timeout("b", name)
-        reach.record_answer("b")
-        assert not reach.is_suspected("b")
+            reachability.record_timeout("b", name)
+        reachability.record_answer("b")
+        assert not reachability.is_suspected("b")
 
     def test_without_an_answer_one_timeout_renews_the_suspicion(self):
-        reach, clock = self.reach()
+        reachability, clock = self.reachability()
         for name in "xy":
-            reach.record_timeout("b", name)
+            reachability.record_timeout("b", name)
         clock.now = FIRST_SUSPICION_S + 2.0
-        assert not reach.is_suspected("b")
-        reach.record_timeout("b", "z")
-        assert reach.is_suspected("b")
+        assert not reachability.is_suspected("b")
+        reachability.record_timeout("b", "z")
+        assert reachability.is_suspected("b")
 
     def test_the_local_data_centre_is_never_suspected(self):
-        reach, _ = self.reach()
+        reachability, _ = self.reachability()
         for name in "xyz":
-            reach.record_timeout("a", name)
-        assert not reach.is_suspected("a")
+            reachability.record_timeout("a", name)
+        assert not reachability.is_suspected("a")
 
     def test_a_suspect_server_is_better_than_an_unreachable_one(self):
-        reach, clock = self.reach()
+        reachability, clock = self.reachability()
         local, remote = (
             Backend(HostEntry(BackendId(n), "s", f"{n}:1", DataCentre(n))) for n in "ab"
         )
         local.suspect_until = clock.now + 1.0
-        assert reach.healthiest([local, remote]) == [remote]
+        assert reachability.healthiest([local, remote]) == [remote]
         for name in "xy":
-            reach.record_timeout("b", name)
-        assert reach.healthiest([local, remote]) == [local]
+            reachability.record_timeout("b", name)
+        assert reachability.healthiest([local, remote]) == [local]
 
 
 class TestQueueOwners:
@@ -125,13 +125,13 @@
 
     def owners(self, own, data_centre):
         others = [m for m in self.members if m.id != own]
-        reach = DataCentreReachability(DataCentre(data_centre), self.clock)
+        reachability = DataCentreReachability(DataCentre(data_centre), self.clock)
         return QueueOwners(
             NodeId(own),
             DataCentre(data_centre),
             next((m.capacity for m in self.members if m.id == own), 1.0),
             lambda: others,
-            reach,
+            reachability,
             self.clock,
         )
 
