--- a/packages/node/src/eelgrass_node/request/attempt.py
+++ b/packages/node/src/eelgrass_node/request/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a stage, and what is known of it afterwards.
+"""Makes one attempt at a stage and classifies its outcome.
 
 An attempt is NOT_RUN only if no connection was established, or if the backend server
 reports, with the id of this attempt, that it did not start. Any failure after the call
@@ -33,7 +33,7 @@
 
 
 class AttemptOutcome(Enum):
-    """What is known of an attempt."""
+    """Whether an attempt ran, as far as the node can tell."""
 
     COMPLETED = "completed"
     NOT_RUN = "not_run"
--- a/packages/node/src/eelgrass_node/request/caller_response.py
+++ b/packages/node/src/eelgrass_node/request/caller_response.py
@@ -13,7 +13,7 @@
 __all__ = ["CallerResponse", "refusal_response"]
 
 # Retry-After is lengthened at random by up to this fraction, so that refused callers do
-# not all come back at the same moment.
+# not all retry at the same moment.
 SPREAD = 0.3
 HTTP_TOO_MANY = 429
 HTTP_UNAVAILABLE = 503
--- a/packages/node/src/eelgrass_node/request/cost_reconciler.py
+++ b/packages/node/src/eelgrass_node/request/cost_reconciler.py
@@ -1,8 +1,8 @@
 """Asks servers for the costs of abandoned attempts until they report them.
 
 A server that responds slowly to a call also responds slowly to its cancellation. The
-next attempt cannot wait until the cost of the last one is known, and yet the sum of
-the costs has to match what the servers counted.
+next attempt cannot wait for the cost of the last one, but the sum of the costs has to
+match what the servers counted.
 """
 
 import asyncio
--- a/packages/node/src/eelgrass_node/request/fingerprint.py
+++ b/packages/node/src/eelgrass_node/request/fingerprint.py
@@ -12,8 +12,8 @@
 __all__ = ["fingerprint_of"]
 
 DIGEST_BYTES = 8
-# Each part is prefixed with its length, so that different requests cannot be joined to
-# the same bytes.
+# Each part is prefixed with its length, so that the joined parts of two different
+# requests are never the same bytes.
 LENGTH_BYTES = 8
 
 
--- a/packages/node/src/eelgrass_node/request/graph.py
+++ b/packages/node/src/eelgrass_node/request/graph.py
@@ -1,7 +1,7 @@
 """Runs the stages of a request that precede its final call.
 
 Stages form a graph: each starts when the results of its predecessors are available,
-and receives the handles of all their batch items. Lost results are made again.
+and receives the handles of all their batch items. Lost results are recomputed.
 """
 
 import asyncio
@@ -25,9 +25,9 @@
 # Frees results. The node, if any, is the one whose queue accounts for their memory.
 FreeResults = Callable[[ServiceName, list[str], NodeId | None], None]
 
-# How often the stages are run, in case results are lost, before the request is refused.
+# Runs of the stages before the request is refused, if results are lost.
 MAX_RUNS = 2
-# From this size on, placement considers where results are made and fetched, because
+# From this size on, placement considers where results are produced and fetched, because
 # traffic between data centres is charged for. Typical large results are single ones of
 # 3 MB, and eight of 60 kB that each of sixteen batch items fetches.
 LARGE_BYTES = 100_000
@@ -88,7 +88,7 @@
         self._result_by_item: dict[tuple[int, int], _Result] = {}
 
     async def run(self) -> tuple[str, ...]:
-        """Make the missing results; return the handles for the final call.
+        """Produce the missing results; return the handles for the final call.
 
         Raises :class:`StagesFailed`.
         """
@@ -230,9 +230,9 @@
         Each item fetches all results of the preceding stages, so their location
         matters more than that of its own result.
         """
-        at = self.inputs_data_centre(stage.after)
-        if at:
-            return at
+        inputs_data_centre = self.inputs_data_centre(stage.after)
+        if inputs_data_centre:
+            return inputs_data_centre
         return (
             self._plan.preferred_data_centre
             if stage.result_bytes >= LARGE_BYTES
--- a/packages/node/src/eelgrass_node/request/planning.py
+++ b/packages/node/src/eelgrass_node/request/planning.py
@@ -32,16 +32,18 @@
     """
     stages = routed.route.stages
     final_call_s = _reserved_s(routed, final_call_s)
-    took_s = [
+    durations_s = [
         expected_s(deployment.service_by_name.get(stage.service))
         if routed.incoming.item_count(number)
         else 0.0
         for number, stage in enumerate(stages)
     ]
     return StagePlan(
-        target_by_stage=_ends(stages, took_s, routed.target_at - final_call_s),
-        deadline_by_stage=_ends(stages, took_s, _give_up_at(routed) - final_call_s),
-        begin_after=begin_after(stages, took_s),
+        target_by_stage=_ends(stages, durations_s, routed.target_at - final_call_s),
+        deadline_by_stage=_ends(
+            stages, durations_s, _give_up_at(routed) - final_call_s
+        ),
+        begin_after=begin_after(stages, durations_s),
         preferred_data_centre=preferred_data_centre,
     )
 
@@ -96,12 +98,12 @@
 
 def _reserved_s(routed: RoutedRequest, final_call_s: float) -> float:
     """Return the time to reserve for the final call, within its limit."""
-    whole_s = _give_up_at(routed) - routed.incoming.arrived_at
-    return min(final_call_s, MAX_FINAL_CALL_FRACTION * whole_s)
+    total_s = _give_up_at(routed) - routed.incoming.arrived_at
+    return min(final_call_s, MAX_FINAL_CALL_FRACTION * total_s)
 
 
 def _give_up_at(routed: RoutedRequest) -> float:
-    """Return until when the stages of a request are worth waiting for.
+    """Return when the stages of a request are given up.
 
     A caller that is refused close to its deadline has no time for a retry; one that
     is refused earlier does.
@@ -111,18 +113,20 @@
 
 
 def _ends(
-    stages: tuple[BatchStage, ...], took_s: list[float], end_at: float
+    stages: tuple[BatchStage, ...], durations_s: list[float], end_at: float
 ) -> tuple[float, ...]:
     """Return when each stage must end for all of them to end at ``end_at``."""
     ends = [end_at] * len(stages)
     for number in reversed(range(len(stages))):
         for predecessor in stages[number].after:
-            ends[predecessor] = min(ends[predecessor], ends[number] - took_s[number])
+            ends[predecessor] = min(
+                ends[predecessor], ends[number] - durations_s[number]
+            )
     return tuple(ends)
 
 
 def begin_after(
-    stages: tuple[BatchStage, ...], took_s: list[float]
+    stages: tuple[BatchStage, ...], durations_s: list[float]
 ) -> tuple[tuple[int, ...], ...]:
     """Return, for each stage, the stages that it should wait for.
 
@@ -136,11 +140,11 @@
         begins_at = max(
             (ends_at[predecessor] for predecessor in stage.after), default=0.0
         )
-        ends_at[number] = begins_at + took_s[number]
-    whole_s = max(ends_at, default=0.0)
+        ends_at[number] = begins_at + durations_s[number]
+    total_s = max(ends_at, default=0.0)
     waits: list[tuple[int, ...]] = []
     for number, stage in enumerate(stages):
-        latest = whole_s - took_s[number]
+        latest = total_s - durations_s[number]
         wait_for = stage.after
         is_final = all(number not in other.after for other in stages)
         if is_final and stage.result_bytes >= LARGE_BYTES:
--- a/packages/node/src/eelgrass_node/request/reasons.py
+++ b/packages/node/src/eelgrass_node/request/reasons.py
@@ -132,7 +132,7 @@
     _R.BAD_DEADLINE: (
         400,
         "The deadline is out of range",
-        "Give deadline_ms from 1 to the pipeline's own deadline, or leave it out.",
+        "Set deadline_ms to between 1 and the pipeline's deadline, or omit it.",
     ),
     _R.BAD_HEADER: (400, "A header is wrong", "Correct the header that is named."),
     _R.DUPLICATE_HEADER: (400, "A header came twice", "Send the named header once."),
@@ -145,7 +145,7 @@
     _R.WRONG_ACCOUNT: (
         403,
         "The answer belongs to another account",
-        "Ask with the account that made the request.",
+        "Use the key of the account that made the request.",
     ),
     _R.UNKNOWN_PIPELINE: (
         404,
@@ -163,14 +163,18 @@
         "Use a new key for a new request.",
     ),
     _R.NOT_CONFIGURED: (503, "The node has no configuration yet", _RETRY_LATER),
-    _R.NODE_STOPPING: (503, "The node is stopping", "Repeat it at once elsewhere."),
+    _R.NODE_STOPPING: (
+        503,
+        "The node is stopping",
+        "Repeat the request at once at another node.",
+    ),
     _R.NODE_FULL: (503, "The node has too many requests in flight", _RETRY_LATER),
     _R.DEADLINE_INFEASIBLE: (503, "The deadline cannot be met now", _RETRY_LATER),
     _R.QUEUE_FULL: (503, "The queue of a stage is full", _RETRY_LATER),
     _R.DEADLINE_PASSED: (
         504,
         "The deadline passed",
-        "Repeat it with a longer deadline, if the outcome allows it.",
+        "Repeat the request with a longer deadline, if the outcome allows it.",
     ),
     _R.NO_BACKEND: (503, "No backend server can take the stage", _RETRY_LATER),
     _R.RETRY_BUDGET_SPENT: (
@@ -183,22 +187,23 @@
     _R.STAGE_OUTCOME_UNKNOWN: (
         502,
         "A stage that may not be repeated has an unknown outcome",
-        "Repeat it with the same key to learn more; ask an operator to resolve it.",
+        "Repeat the request with the same key to learn its state; ask an operator to "
+        "resolve it.",
     ),
     _R.CLAIM_OWNER_UNREACHABLE: (
         503,
         "The node that runs this request does not answer",
-        "Repeat it with the same key after the time in Retry-After.",
+        "Repeat the request with the same key after the time in Retry-After.",
     ),
     _R.CLAIM_OUTCOME_UNKNOWN: (
         502,
         "The request was begun and its outcome is unknown",
-        "Ask an operator to resolve the key; a new key would run it again.",
+        "Ask an operator to resolve the key; a new key would run the request again.",
     ),
     _R.CLAIM_STILL_RUNNING: (
         503,
         "The request is still running",
-        "Repeat it with the same key after the time in Retry-After.",
+        "Repeat the request with the same key after the time in Retry-After.",
     ),
     _R.CLAIM_RESOLVED: (
         409,
@@ -208,7 +213,7 @@
     _R.INTERNAL_ERROR: (
         500,
         "The node met an error of its own",
-        "Repeat it with the same key; report the request id.",
+        "Repeat the request with the same key, and report its request id.",
     ),
 }
 _KIND_BY_REASON = {reason: RefusalKind(*parts) for reason, parts in _KINDS.items()}
--- a/packages/node/src/eelgrass_node/request/request_execution.py
+++ b/packages/node/src/eelgrass_node/request/request_execution.py
@@ -132,7 +132,9 @@
         self._check_quarantine()
         retry_after_s = self._context.infeasible_retry_after_s(self._routed)
         if retry_after_s is not None:
-            raise RequestRefused("the stages have no room in time", retry_after_s)
+            raise RequestRefused(
+                "the stages cannot be completed in time", retry_after_s
+            )
         inputs = await self._run_stages()
         self._staged_at, self._staged_running_s = _now(), running_time()
         if self._routed.route.stages:
@@ -144,7 +146,7 @@
                 self._inputs_data_centre()
             )
             if inputs_unreachable or self._graph.has_lost_results():
-                # No server could fetch the results, so they are made again.
+                # No server could fetch the results, so they are recomputed.
                 self._graph.release()
             if self._graph.released:
                 inputs = await self._run_stages()
@@ -172,7 +174,7 @@
             return await self._graph.run()
         except StagesFailed as failed:
             raise RequestRefused(
-                f"stages: {failed.failure.value}",
+                f"a stage failed: {failed.failure.value}",
                 max(failed.retry_after_s, RETRY_FULL_S),
             ) from failed
 
@@ -334,18 +336,24 @@
         reason = failed.reason.value
         if not failed.not_run:
             if not routed.route.repeatable:
-                raise RequestRefused(f"may have run: {reason}")
+                raise RequestRefused(f"the request may have run: {reason}")
             if self._runs >= routed.route.max_attempts:
-                raise RequestRefused(f"attempts used up: {reason}", RETRY_FULL_S)
+                raise RequestRefused(
+                    f"the last permitted attempt failed: {reason}", RETRY_FULL_S
+                )
         elif self._refused_calls >= MAX_REFUSED_CALLS:
-            raise RequestRefused(f"refused by servers: {reason}", RETRY_FULL_S)
+            raise RequestRefused(
+                f"too many calls did not run the request: {reason}", RETRY_FULL_S
+            )
         # A call that reached no server puts no load on one, so that its retry needs no
         # budget.
         reached = failed.reason not in NOT_CONNECTED_REASONS
         if reached and not self._context.retries.try_spend(
             routed.service, routed.incoming.request_id
         ):
-            raise RequestRefused(f"retry budget spent: {reason}", RETRY_FULL_S)
+            raise RequestRefused(
+                f"the retry budget is exhausted: {reason}", RETRY_FULL_S
+            )
         self._context.count(f"retry.{reason}")
 
     def _head_timeout_s(self) -> float:
@@ -362,7 +370,11 @@
         self._context.count("refusal.deadline-passed")
         if self._may_have_run or self._calling:
             return self._answer.refusal(HTTP_GATEWAY_TIMEOUT, "the deadline passed")
-        return self._answer.refusal(HTTP_UNAVAILABLE, "no server in time", RETRY_FULL_S)
+        return self._answer.refusal(
+            HTTP_UNAVAILABLE,
+            "the deadline passed before a server ran the request",
+            RETRY_FULL_S,
+        )
 
     def _refuse(self, refused: RequestRefused) -> web.StreamResponse:
         self._log_end("Refused.", reason=refused.reason)
@@ -378,7 +390,7 @@
                 HTTP_UNAVAILABLE, refused.reason, refused.retry_after_s
             )
         self._context.count("refusal.not-run")
-        # A caller that came back later than this could not be served any more.
+        # A caller that retries later than this has too little time left to be served.
         latest_s = RETRY_FRACTION * (self._routed.deadline - _now())
         retry_after_s = min(refused.retry_after_s or RETRY_FULL_S, max(0.0, latest_s))
         return self._answer.refusal(HTTP_UNAVAILABLE, refused.reason, retry_after_s)
--- a/packages/node/src/eelgrass_node/request/request_handler.py
+++ b/packages/node/src/eelgrass_node/request/request_handler.py
@@ -78,7 +78,7 @@
                     error=repr(error),
                 )
                 self._count("refusal.internal-error")
-                return answer.refusal(HTTP_INTERNAL_ERROR, "an error of the node")
+                return answer.refusal(HTTP_INTERNAL_ERROR, "internal error of the node")
 
     async def _handle(
         self, request: web.BaseRequest, answer: CallerResponse, arrived_at: float
@@ -86,25 +86,33 @@
         deployment = self._deployments.current
         if deployment is None:
             self._count("refusal.not-configured")
-            return answer.refusal(HTTP_UNAVAILABLE, "not configured yet", START_RETRY_S)
+            return answer.refusal(
+                HTTP_UNAVAILABLE, "the node has no configuration yet", START_RETRY_S
+            )
         if self._stopping.refusing:
             self._count("refusal.node-stopping")
-            return answer.refusal(HTTP_UNAVAILABLE, "stopping", STOPPING_RETRY_S)
+            return answer.refusal(
+                HTTP_UNAVAILABLE, "the node is stopping", STOPPING_RETRY_S
+            )
         if _header_bytes(request) > deployment.limits.max_header_bytes:
             self._count("refusal.header-too-large")
-            return answer.refusal(HTTP_HEADER_TOO_LARGE, "the header is too large")
+            return answer.refusal(
+                HTTP_HEADER_TOO_LARGE, "the request header is too large"
+            )
         try:
             async with asyncio.timeout(DEFAULT_DEADLINE_S):
                 body = await request.read()
         except TimeoutError:
             self._count("refusal.body-too-slow")
-            return answer.refusal(HTTP_TIMEOUT, "the body did not come in time")
+            return answer.refusal(
+                HTTP_TIMEOUT, "the request body did not arrive in time"
+            )
         except web.HTTPRequestEntityTooLarge:
             self._count("refusal.body-too-large")
-            return answer.refusal(HTTP_TOO_LARGE, "the body is too large")
+            return answer.refusal(HTTP_TOO_LARGE, "the request body is too large")
         if len(body) > deployment.limits.max_body_bytes:
             self._count("refusal.body-too-large")
-            return answer.refusal(HTTP_TOO_LARGE, "the body is too large")
+            return answer.refusal(HTTP_TOO_LARGE, "the request body is too large")
         try:
             incoming = self._codec.decode_request(
                 request.method, request.raw_path, request.raw_headers, body, arrived_at
--- a/packages/node/src/eelgrass_node/request/server_selection.py
+++ b/packages/node/src/eelgrass_node/request/server_selection.py
@@ -22,8 +22,8 @@
 async def select_server(context: ServingContext, criteria: ServerCriteria) -> Backend:
     """Return a server that may receive the request now.
 
-    Raises :class:`RequestRefused` if the service has no server, or if the servers that
-    are left are cold and already receive as many requests as they can take.
+    Raises :class:`RequestRefused` if the service has no usable server, or if the only
+    ones left are cold and have reached their warm-up limits.
     """
     denied: frozenset[ServerIncarnation] = frozenset()
     retry_after_s = WARM_UP_RETRY_S
@@ -31,7 +31,7 @@
         tried = criteria.tried | denied
         server = context.choose(msgspec.structs.replace(criteria, tried=tried))
         if server is None:
-            raise RequestRefused("no server of the service", NO_SERVER_RETRY_S)
+            raise RequestRefused("the service has no usable server", NO_SERVER_RETRY_S)
         if server.entry.incarnation in denied:
             break
         permit = await context.admit(server)
@@ -39,4 +39,4 @@
             return server
         denied |= {server.entry.incarnation}
         retry_after_s = max(MIN_RETRY_S, min(retry_after_s, permit.after_s))
-    raise RequestRefused("the servers are warming up", retry_after_s)
+    raise RequestRefused("the servers of the service are warming up", retry_after_s)
--- a/packages/node/src/eelgrass_node/request/stage_planner.py
+++ b/packages/node/src/eelgrass_node/request/stage_planner.py
@@ -1,4 +1,4 @@
-"""Plans the stages of a request by what this node knows of servers and queues."""
+"""Plans the stages of a request from this node's view of servers and queues."""
 
 from collections.abc import Callable
 
--- a/packages/node/src/eelgrass_node/request/typical_deadline.py
+++ b/packages/node/src/eelgrass_node/request/typical_deadline.py
@@ -1,10 +1,10 @@
 """Estimates how long a caller that retries has already waited.
 
-In a burst, some hundred refused callers retry within seconds. Their time counts from
-their first attempt, so that most of them are late when they retry, and yet they would
-be served before requests that can still be on time. Retries can be recognised because
-callers state how long they will still wait: most first attempts on a route state the
-same deadline, and a retry states a shorter one.
+In a burst, some hundred refused callers retry within seconds. Their latency target
+counts from their first attempt, so that most of them are late when they retry. Without
+the estimate they would be served before requests that can still be on time. Retries can
+be recognised because callers state how long they will still wait: most first attempts
+on a route state the same deadline, and a retry states a shorter one.
 
 Uses no network and no clock.
 """
