--- a/packages/node/src/eelgrass_node/connection/batch_handoff.py
+++ b/packages/node/src/eelgrass_node/connection/batch_handoff.py
@@ -186,7 +186,7 @@
     def _abandon(
         self, service: ServiceName, running: asyncio.Future[list[ItemOutcome]]
     ) -> None:
-        """Cancel the run of a caller that is gone, or free the undelivered results."""
+        """Cancel the run if the caller has left, or free the undelivered results."""
         if not running.done():
             running.cancel()
         elif not running.cancelled() and running.exception() is None:
--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -167,7 +167,7 @@
             stage_calls.producer_of,
             self.metrics.record_wait,
             self.poison,
-            self.warm_up.admission.is_bounded,
+            self.warm_up.admission.is_rate_limited,
         )
         self.backends.on_change = self.local_queues.servers_changed
         self.membership.on_gossip_item = self._mark_heard
--- a/packages/node/src/eelgrass_node/platform/requests.py
+++ b/packages/node/src/eelgrass_node/platform/requests.py
@@ -54,7 +54,7 @@
     if not request_id:
         raise RequestMalformed(f"the header {names.ATTEMPT_ID} is missing")
     if len(by_name.getall(names.ATTEMPT_ID)) > 1 or len(by_name.getall("Host", ())) > 1:
-        raise RequestMalformed("a header that must be unique came twice")
+        raise RequestMalformed("a header that must be unique appears twice")
     dropped = _connection_headers(by_name) | names.SYSTEM_HEADERS | {_LENGTH}
     return IncomingRequest(
         request_id=request_id,
@@ -141,7 +141,7 @@
     try:
         deadline_ms = float(value)
     except ValueError as error:
-        raise RequestMalformed(f"{names.DEADLINE_MS} is no number") from error
+        raise RequestMalformed(f"{names.DEADLINE_MS} is not a number") from error
     if not 0 <= deadline_ms <= MAX_DEADLINE_MS:
         raise RequestMalformed(f"{names.DEADLINE_MS} is out of range")
     return deadline_ms / 1000
@@ -160,7 +160,9 @@
     try:
         counts = tuple(int(count) for count in value.split(","))
     except ValueError as error:
-        raise RequestMalformed(f"{names.SEGMENTS} holds no numbers") from error
+        raise RequestMalformed(
+            f"{names.SEGMENTS} holds a value that is not a number"
+        ) from error
     if any(not 0 <= count <= MAX_ITEMS for count in counts):
         raise RequestMalformed(f"{names.SEGMENTS} is out of range")
     return counts
--- a/packages/node/src/eelgrass_node/platform/store.py
+++ b/packages/node/src/eelgrass_node/platform/store.py
@@ -69,7 +69,7 @@
         # One session for the reads of a table and one for its writes. The calls of a
         # session are sequential, so each keeps one connection. A spare connection would
         # fail together with the first one, and the call on it would cost another
-        # time-out of 0.6 s and a backoff.
+        # timeout of 0.6 s and a backoff.
         self._session_by_table: dict[str, aiohttp.ClientSession] = {}
         self._response_started_at_by_table: dict[str, float] = {}
         self.calls = 0
--- a/packages/node/src/eelgrass_node/process/batch_queue.py
+++ b/packages/node/src/eelgrass_node/process/batch_queue.py
@@ -102,7 +102,7 @@
         """Run an item set and return the outcomes, in order.
 
         If the caller is cancelled, waiting items are withdrawn, calls that have started
-        go on, and all results are freed.
+        continue, and all results are freed.
         """
         now = _now()
         self._shares.record_demand(items, self._order.work_s(len(items)), now)
@@ -332,7 +332,7 @@
         finally:
             use.calls -= 1
         now = _now()
-        # Stalls of this process are left out: the server was not slow meanwhile.
+        # Stalls of this process do not count, because the server is not slow then.
         took_s = running_time() - began
         self._servers.record_call(server, batch, outcomes, took_s)
         finished = sum(outcome.handle is not None for outcome in outcomes)
@@ -348,7 +348,7 @@
         self.start_calls()
 
     def _free_finished(self, futures: Sequence[asyncio.Future[ItemOutcome]]) -> None:
-        """Free the finished results of a set whose caller is gone."""
+        """Free the finished results of a set whose caller has been cancelled."""
         finished = [f.result() for f in futures if f.done() and not f.cancelled()]
         handles = [outcome.handle for outcome in finished if outcome.handle is not None]
         if handles:
@@ -359,7 +359,7 @@
         futures: dict[BatchItem, asyncio.Future[ItemOutcome]],
         outcomes: list[ItemOutcome],
     ) -> None:
-        """Free results whose caller is gone; they would take up server memory."""
+        """Free results whose caller was cancelled; they would take up server memory."""
         abandoned = [
             outcome.handle
             for future, outcome in zip(futures.values(), outcomes, strict=True)
--- a/packages/node/src/eelgrass_node/process/budget_shares.py
+++ b/packages/node/src/eelgrass_node/process/budget_shares.py
@@ -1,8 +1,8 @@
 """Counts the nodes that share a budget of the whole deployment.
 
 When nodes leave in turn, or data centres are cut off from each other, the nodes that
-remain reachable must not take over the shares of the others. What those have spent
-counts for a while longer, and they may still be spending.
+remain reachable must not take over the shares of the others: retries that those have
+made still count in the current window, and they may still be making more.
 """
 
 import math
@@ -22,8 +22,8 @@
 
     ``members`` are the records of all other nodes, in any state. A data centre without
     known nodes is assumed to have the mean number of the others, because a node that
-    starts during a partition learns of no node beyond it. The result is None, that is
-    unknown, if this node has seeds but has not learned of any other node.
+    starts during a partition learns of no node on the other side. The result is None,
+    that is unknown, if this node has seeds but has not learned of any other node.
     """
     if not members and settings.other_seeds():
         return None
--- a/packages/node/src/eelgrass_node/process/claimed_requests.py
+++ b/packages/node/src/eelgrass_node/process/claimed_requests.py
@@ -125,7 +125,7 @@
             await self._store(acquisition, self._after_refusal(acquisition, refused))
             raise
         except BaseException:
-            note = "the node met an error"
+            note = "internal error of the node"
             await self._store(acquisition, self._claims.mark_unknown(acquisition, note))
             raise
         else:
@@ -157,7 +157,10 @@
     async def _finished_claim(
         self, request: CallerRequest, claim: Claim
     ) -> Claim | None:
-        """Return the completed claim, or None to acquire again, or raise Refused."""
+        """Return the completed claim, or None if the claim must be acquired again.
+
+        Raises :class:`Refused` if the request cannot be answered or run.
+        """
         if claim.digest != request.digest or claim.pipeline != request.pipeline.name:
             raise Refused(RefusalReason.KEY_REUSED, Outcome.NOT_RUN)
         if claim.state is ClaimState.COMPLETED:
--- a/packages/node/src/eelgrass_node/process/crash_table.py
+++ b/packages/node/src/eelgrass_node/process/crash_table.py
@@ -116,7 +116,7 @@
             except StoreUnavailable as error:
                 log(
                     Part.STORE,
-                    "Crash rows could not be written; trying again.",
+                    "Crash rows could not be written; retrying.",
                     error=str(error),
                     rows=len(self._pending_by_key),
                 )
@@ -150,7 +150,11 @@
         if len(self._pending_by_key) > MAX_PENDING:
             dropped = next(iter(self._pending_by_key))
             del self._pending_by_key[dropped]
-            log(Part.STORE, "A crash row is dropped; too many wait.", row=dropped)
+            log(
+                Part.STORE,
+                "Dropped the oldest queued change of a crash row; too many are queued.",
+                row=dropped,
+            )
         self._wake.set()
 
     def _queue_outdated(self) -> None:
--- a/packages/node/src/eelgrass_node/process/dispatch.py
+++ b/packages/node/src/eelgrass_node/process/dispatch.py
@@ -40,7 +40,7 @@
 
 
 class ServiceQueue:
-    """The waiters for one service, in their order."""
+    """The stages that wait for a server of one service, in order."""
 
     def __init__(
         self,
@@ -108,14 +108,14 @@
             raise Refused(
                 RefusalReason.NO_BACKEND,
                 Outcome.NOT_RUN,
-                f"Service {self.service!r} has no server in use.",
+                f"Service {self.service!r} has no usable server.",
                 NO_BACKEND_RETRY_S,
             )
         if len(self._waiters) >= MAX_WAITING:
             raise Refused(
                 RefusalReason.QUEUE_FULL,
                 Outcome.NOT_RUN,
-                f"{MAX_WAITING} stages wait for {self.service!r}.",
+                f"{MAX_WAITING} stages already wait for service {self.service!r}.",
                 self.retry_after(),
             )
         self._arrivals += 1
@@ -138,7 +138,7 @@
         backend.in_flight -= 1
         self.grant()
 
-    def refused_as_full(self, backend: Backend) -> None:
+    def on_refused_as_full(self, backend: Backend) -> None:
         """Back off from a server that refused a call as full, then serve waiters."""
         backoff_s = backend.back_off()
         asyncio.get_running_loop().call_later(backoff_s, self.grant)
@@ -203,7 +203,7 @@
     def _withdraw(self, waiter: _Waiter) -> None:
         granted = waiter.granted
         if granted.done() and not granted.cancelled() and not granted.exception():
-            # The server was granted at the moment at which the wait ended.
+            # A server was granted just as the wait timed out or was cancelled.
             self.release(granted.result())
             return
         granted.cancel()
--- a/packages/node/src/eelgrass_node/process/evacuation/evacuations.py
+++ b/packages/node/src/eelgrass_node/process/evacuation/evacuations.py
@@ -98,7 +98,7 @@
         self._apply(data_centre)
         self._schedule_recheck()
 
-    def on_store_return(self) -> None:
+    def on_store_recovered(self) -> None:
         """Recheck gossip, which expires soon now that the store can be read again."""
         self._schedule_recheck()
 
--- a/packages/node/src/eelgrass_node/process/evacuation/manager.py
+++ b/packages/node/src/eelgrass_node/process/evacuation/manager.py
@@ -45,7 +45,7 @@
         return sum(server.in_flight for server in servers)
 
     def _on_evacuation_end(self, data_centre: DataCentre) -> None:
-        """Use a data centre again; its servers may have become cold since."""
+        """Put a data centre back into use; its servers may have become cold."""
         for server in self._backends.in_data_centre(data_centre):
             server.mark_cold(self._warm_up_s(server.entry.service))
         self._backends.notify_all()
--- a/packages/node/src/eelgrass_node/process/host_list.py
+++ b/packages/node/src/eelgrass_node/process/host_list.py
@@ -70,7 +70,7 @@
             entries = msgspec.json.decode(body, type=list[HostEntry])
             self._bytes = len(body)
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError) as e:
-            self._note_failure(e)
+            self._on_failure(e)
             return
         if self._failing:
             log(Part.HOSTS, "The host list can be read again.")
@@ -79,7 +79,7 @@
             log(Part.HOSTS, "A backend server is leaving.", backend=entry.id)
             self.on_leaving(entry.id, entry.started)
 
-    def _note_failure(self, error: Exception) -> None:
+    def _on_failure(self, error: Exception) -> None:
         if not self._failing:
             log(Part.HOSTS, "The host list cannot be read.", error=repr(error))
         self._failing = True
--- a/packages/node/src/eelgrass_node/process/local_queues.py
+++ b/packages/node/src/eelgrass_node/process/local_queues.py
@@ -33,8 +33,8 @@
 
     ``producer_of`` returns the address of the server that holds a result, and
     ``record_wait`` records how many seconds the items of a service waited. ``poison``
-    keeps poison requests from being sent to servers, and ``is_bounded`` tells which
-    servers are cold; they get no items until they are warm.
+    keeps poison requests from being sent to servers. Servers for which
+    ``is_rate_limited`` is true are cold; they get no items until they are warm.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         producer_of: Callable[[str], str],
         record_wait: Callable[[str, float], None],
         poison: PoisonRequests,
-        is_bounded: Callable[[Backend], bool],
+        is_rate_limited: Callable[[Backend], bool],
     ) -> None:
         self._backends = backends
         self._deployment = deployment
@@ -59,7 +59,7 @@
         self._producer_of = producer_of
         self._record_wait = record_wait
         self._poison = poison
-        self._is_bounded = is_bounded
+        self._is_rate_limited = is_rate_limited
         self._tasks: set[asyncio.Task] = set()
         self.by_service: dict[ServiceName, BatchQueue] = {}
 
@@ -138,7 +138,7 @@
         return [
             server
             for server in self._backends.usable(service)
-            if server.is_in(regions) and not self._is_bounded(server)
+            if server.is_in(regions) and not self._is_rate_limited(server)
         ]
 
     async def _call(
--- a/packages/node/src/eelgrass_node/process/overload.py
+++ b/packages/node/src/eelgrass_node/process/overload.py
@@ -2,7 +2,7 @@
 
 Callers that are refused in a burst of several seconds and retry within a second arrive
 in the same burst and are refused for good. The length of an overload cannot be known in
-advance, so it is expected to last as long again as it has lasted so far.
+advance, so the rest of it is expected to be as long as the part that has passed.
 
 This module does no I/O and reads no clock; times are in seconds.
 """
--- a/packages/node/src/eelgrass_node/process/platform_tables.py
+++ b/packages/node/src/eelgrass_node/process/platform_tables.py
@@ -78,7 +78,7 @@
             names.operator,
             self._apply_operator_rows,
             evacuations.apply_snapshot,
-            evacuations.on_store_return,
+            evacuations.on_store_recovered,
             CONFIGURATION_WAIT_S,
             min(apply_s, evacuate_s),
         )
@@ -87,7 +87,7 @@
             names.servers,
             lambda rows, source: server_list.apply_rows(rows),
             server_list.apply_snapshot,
-            server_list.on_outage_end,
+            server_list.on_store_recovered,
             SERVERS_WAIT_S,
             drain_s,
         )
--- a/packages/node/src/eelgrass_node/process/queue_servers.py
+++ b/packages/node/src/eelgrass_node/process/queue_servers.py
@@ -22,8 +22,8 @@
 __all__ = ["SERVER_FAILURES", "QueueServers"]
 
 # The configured sizes of results are approximate. If a server has less memory left than
-# they add up to, the node assumes larger results, up to about a third. The decay undoes
-# that over some twenty calls, a few seconds.
+# they add up to, the node assumes that results are larger, by up to about a third. The
+# decay undoes that over some twenty calls, a few seconds.
 SIZE_GROWTH = 1.05
 SIZE_DECAY = 0.985
 MAX_SIZE_FACTOR = 1.35
--- a/packages/node/src/eelgrass_node/process/result_release.py
+++ b/packages/node/src/eelgrass_node/process/result_release.py
@@ -1,9 +1,9 @@
 """Frees results of stages through the queue that accounts for their memory.
 
 If a queue owner stalls for part of a second, other nodes skip it and free results
-without it. An owner that is not told of that counts its servers as full until the
-results would have expired, seconds later, so that the items in its queue become late
-while servers are idle.
+without it. An owner that is not notified counts its servers as full until the results
+would have expired, seconds later, so that the items in its queue become late while
+servers are idle.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
     """Frees the results that this node's requests no longer need.
 
     ``find_member`` returns the record of a member, ``on_silent`` is called for owners
-    that do not answer at once, and ``count`` counts owners that could not be told.
+    that do not answer at once, and ``count`` counts owners that could not be notified.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         """Have a queue owner free results.
 
         If it does not answer in time, the results are freed here. The call goes on for
-        the lifetime of the results, because a stalled owner still has to learn of it.
+        the lifetime of the results, because a stalled owner still has to be notified.
         """
         timeout_s = max(OWNER_TIMEOUT_S, self._local.result_life_s(service))
         call = asyncio.ensure_future(
@@ -96,8 +96,8 @@
             self._count("handoff.failed")
             log(
                 Part.PIECES,
-                "Queue owner was not told of freed results; it counts their memory as "
-                "used until they expire.",
+                "Queue owner was not notified of freed results; it counts their memory "
+                "as used until they expire.",
                 owner=owner.id,
                 service=service,
                 results=len(handles),
--- a/packages/node/src/eelgrass_node/process/server_list.py
+++ b/packages/node/src/eelgrass_node/process/server_list.py
@@ -67,8 +67,8 @@
             self._on_missing(server_id)
         self._apply()
 
-    def on_outage_end(self) -> None:
-        """Record that the store answers again after an outage."""
+    def on_store_recovered(self) -> None:
+        """Delay removals for a while, because the store answers again."""
         self._outage_ended_at = _now()
 
     def forget(self, incarnation: ServerIncarnation) -> None:
--- a/packages/node/src/eelgrass_node/process/warm_up/admission.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/admission.py
@@ -42,15 +42,15 @@
         self._clock = clock
         self._count = count
 
-    def is_bounded(self, server: Backend) -> bool:
+    def is_rate_limited(self, server: Backend) -> bool:
         """Return whether a server is cold and the rate of its requests is limited."""
         if not server.is_cold(self._clock()):
             return False
-        return self._rates.is_bounded(server.entry.service)
+        return self._rates.is_rate_limited(server.entry.service)
 
     async def admit(self, server: Backend) -> Permit:
         """Return a permit for one request to a chosen server."""
-        if not self.is_bounded(server):
+        if not self.is_rate_limited(server):
             return GRANTED
         permit = await self._ask(server.entry.incarnation, server.entry.service)
         self._count("warm-up.permit" if permit.granted else "warm-up.refused")
--- a/packages/node/src/eelgrass_node/process/warm_up/permits.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/permits.py
@@ -32,7 +32,7 @@
 
 
 class Permit(msgspec.Struct, frozen=True):
-    """Whether a request may go to a cold server; if not, ask again ``after_s``."""
+    """Whether a request may go to a cold server; if not, retry after ``after_s``."""
 
     granted: bool
     after_s: float = 0.0
--- a/packages/node/src/eelgrass_node/process/warm_up/rate_limit.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/rate_limit.py
@@ -49,7 +49,7 @@
         self._bounds = bounds
         self._deployment = deployment
 
-    def is_bounded(self, service: str) -> bool:
+    def is_rate_limited(self, service: str) -> bool:
         """Return whether the configuration limits the rate of a cold server."""
         return self._configured_per_s(service) > 0
 
--- a/packages/node/src/eelgrass_node/request/stages.py
+++ b/packages/node/src/eelgrass_node/request/stages.py
@@ -78,7 +78,7 @@
             try:
                 result = await self._attempt(backend, stage_input)
                 if result.reason is RetryReason.BACKEND_OVERLOADED:
-                    self._queue.refused_as_full(backend)
+                    self._queue.on_refused_as_full(backend)
             finally:
                 self._queue.release(backend)
             if result.outcome is AttemptOutcome.COMPLETED:
@@ -188,13 +188,13 @@
             raise Refused(
                 RefusalReason.STAGE_OUTCOME_UNKNOWN,
                 Outcome.UNKNOWN,
-                f"Stage {self._stage.name!r}: {reason.value}.",
+                f"Stage {self._stage.name!r} failed: {reason.value}.",
             )
         if reason is RetryReason.TOO_SLOW or self._request.remaining() <= self._rest_s:
             raise Refused(
                 RefusalReason.DEADLINE_PASSED,
                 self._outcome(),
-                f"Stage {self._stage.name!r}: {reason.value}.",
+                f"Stage {self._stage.name!r} failed: {reason.value}.",
                 self._queue.retry_after(),
             )
         if self.cost.attempts >= MAX_ATTEMPTS and reason not in UNCOUNTED_REASONS:
@@ -204,7 +204,7 @@
         self._environment.on_retry(reason)
 
     def _give_up(self, refusal: RefusalReason, reason: RetryReason) -> Refused:
-        detail = f"Stage {self._stage.name!r}: {reason.value}."
+        detail = f"Stage {self._stage.name!r} failed: {reason.value}."
         return Refused(refusal, self._outcome(), detail, self._queue.retry_after())
 
     def _outcome(self) -> Outcome:
--- a/packages/node/src/eelgrass_node/version/check.py
+++ b/packages/node/src/eelgrass_node/version/check.py
@@ -96,7 +96,7 @@
     elif isinstance(value, ClientAccount):
         if not DIGEST_PATTERN.fullmatch(value.key_sha256):
             remedy = "give the 64 hex digits of the key's SHA-256"
-            yield Problem(f"{field}.key_sha256", "it is not a digest", remedy)
+            yield Problem(f"{field}.key_sha256", "it is not a SHA-256 digest", remedy)
     elif name != parameter_set_name(value.account, value.template):
         remedy = f"name it {parameter_set_name(value.account, value.template)}"
         yield Problem(field, "the name does not match account and template", remedy)
@@ -111,7 +111,7 @@
         yield Problem(f"{field}.deadline_ms", "out of range", remedy)
     names = [stage.name for stage in template.stages]
     if len(set(names)) < len(names):
-        remedy = "give each stage a name of its own"
+        remedy = "give each stage a unique name"
         yield Problem(f"{field}.stages", "several stages have the same name", remedy)
     for stage in template.stages:
         field_path = f"{field}.stages.{stage.name}"
@@ -129,7 +129,9 @@
         if not spec.required and not _has_type(spec, spec.default):
             field_path = f"{field}.parameters.{name}.default"
             yield Problem(
-                field_path, f"it is no {spec.type.value}", "give a default of that type"
+                field_path,
+                f"it is not of type {spec.type.value}",
+                "give a default of that type",
             )
 
 
@@ -229,7 +231,7 @@
         elif not _has_type(spec, value):
             remedy = "give a value of that type"
             yield Problem(
-                f"{field}.values.{name}", f"it is no {spec.type.value}", remedy
+                f"{field}.values.{name}", f"it is not of type {spec.type.value}", remedy
             )
     for name, spec in template.parameters.items():
         if spec.required and name not in parameters.values:
--- a/packages/node/tests/test_dispatch.py
+++ b/packages/node/tests/test_dispatch.py
@@ -114,7 +114,7 @@
     async def test_a_full_server_gets_no_calls_during_its_backoff(self):
         queue = new_queue("a", limit=8)
         held = await acquire(queue)
-        queue.refused_as_full(held)
+        queue.on_refused_as_full(held)
         queue.release(held)
         began = asyncio.get_running_loop().time()
         assert (await acquire(queue)).entry.id == "a"
--- a/packages/node/tests/test_store_following.py
+++ b/packages/node/tests/test_store_following.py
@@ -187,7 +187,7 @@
 
     async def test_entries_that_expired_in_an_outage_may_come_back(self):
         servers = self.listing("i1", "i2")
-        servers.on_outage_end()
+        servers.on_store_recovered()
         servers.apply_snapshot({"i2"})
         assert self.usable() == {"i1", "i2"}
         servers.apply_rows((row("i1", 3, b"{}"),))
@@ -196,13 +196,13 @@
 
     async def test_entries_that_the_feed_removes_after_an_outage_may_come_back(self):
         servers = self.listing("i1", "i2")
-        servers.on_outage_end()
+        servers.on_store_recovered()
         servers.apply_rows((row("i1", 2, None),))
         assert self.usable() == {"i1", "i2"}
 
     async def test_an_entry_that_stays_missing_is_dropped(self):
         servers = self.listing("i1", "i2")
-        servers.on_outage_end()
+        servers.on_store_recovered()
         servers.apply_snapshot({"i2"})
         await asyncio.sleep(0.3)
         assert self.usable() == {"i2"}
--- a/packages/node/tests/test_warm_up.py
+++ b/packages/node/tests/test_warm_up.py
@@ -188,7 +188,7 @@
         entry = HostEntry(
             incarnation.id, READERS, "s:1", DataCentre("a"), started=incarnation.started
         )
-        admission.is_bounded = lambda server: True
+        admission.is_rate_limited = lambda server: True
         server = Backend(entry)
         if (await admission.admit(server)).granted:
             late_s = self.draw.random() * 0.3
--- a/tests/support/recording_server_list.py
+++ b/tests/support/recording_server_list.py
@@ -28,7 +28,7 @@
         for key in self._listed - keys:
             self._remove(key)
 
-    def on_outage_end(self) -> None:
+    def on_store_recovered(self) -> None:
         """Do nothing: entries do not expire here."""
 
     def _remove(self, key: str) -> None:
