--- a/packages/node/src/eelgrass_node/process/evacuation/manager.py
+++ b/packages/node/src/eelgrass_node/process/evacuation/manager.py
@@ -52,5 +52,7 @@
 
     def _warm_up_s(self, service: str) -> float:
         deployment = self._deployment()
-        known = deployment and deployment.service_by_name.get(ServiceName(service))
-        return known.warm_up_s if known else MAX_WARM_UP_S
+        service_config = deployment and deployment.service_by_name.get(
+            ServiceName(service)
+        )
+        return service_config.warm_up_s if service_config else MAX_WARM_UP_S
--- a/packages/node/src/eelgrass_node/process/quarantine.py
+++ b/packages/node/src/eelgrass_node/process/quarantine.py
@@ -170,10 +170,8 @@
                 for crash_time in crash_times
                 if crash_time[0] - began_at <= SAME_CAUSE_S
             ]
-            ran_beside_others = all(
-                ran_other_requests for _, ran_other_requests in group
-            )
-            have_other_cause = ran_beside_others and self._others_crashed(
+            all_ran_others = all(ran_other_requests for _, ran_other_requests in group)
+            have_other_cause = all_ran_others and self._others_crashed(
                 suspect, began_at
             )
             crashes += 1 if have_other_cause else len(group)
@@ -185,9 +183,9 @@
         for incarnation, requests in self._requests_by_life.items():
             if incarnation in suspect.time_by_server:
                 continue
-            known = (self._suspect_by_request[other] for other in requests)
+            others = (self._suspect_by_request[other] for other in requests)
             if any(
-                abs(k.time_by_server[incarnation] - at) <= SAME_CAUSE_S for k in known
+                abs(o.time_by_server[incarnation] - at) <= SAME_CAUSE_S for o in others
             ):
                 return True
         return False
--- a/packages/node/src/eelgrass_node/process/queue_servers.py
+++ b/packages/node/src/eelgrass_node/process/queue_servers.py
@@ -208,7 +208,7 @@
         owner, which says nothing about the size of results.
         """
         now = _now()
-        if now - use.known_since > self._limits().result_life_s:
+        if now - use.used_since > self._limits().result_life_s:
             self._size_factor = min(MAX_SIZE_FACTOR, self._size_factor * SIZE_GROWTH)
         remaining = self._limits().memory_bytes - use.held_bytes(now)
         use.hold(UNKNOWN_RESULTS, int(remaining), now + UNKNOWN_RESULTS_S)
--- a/packages/node/src/eelgrass_node/process/server_choice.py
+++ b/packages/node/src/eelgrass_node/process/server_choice.py
@@ -56,8 +56,8 @@
         if not servers:
             return None
         deployment = self._deployment()
-        known = deployment and deployment.service_by_name.get(criteria.service)
-        if known and known.model is not None:
+        service_config = deployment and deployment.service_by_name.get(criteria.service)
+        if service_config and service_config.model is not None:
             return place_prompt(
                 servers,
                 criteria.prefix_key,
@@ -77,20 +77,20 @@
         """
         service = ServiceName(chosen.entry.service)
         deployment = self._deployment()
-        known = deployment and deployment.service_by_name.get(service)
-        if not known or known.model is None:
+        service_config = deployment and deployment.service_by_name.get(service)
+        if not service_config or service_config.model is None:
             return None
         now = asyncio.get_running_loop().time()
-        found = copy_source(
+        source = copy_source(
             self._backends.by_service.get(service, ()),
             chosen,
             prefix_key,
             shared_tokens,
-            known.model.copy_s(shared_tokens),
+            service_config.model.copy_s(shared_tokens),
             now,
         )
-        if found is None or found.suspect_until > now:
+        if source is None or source.suspect_until > now:
             return None
-        if self._reachability.is_suspected(found.entry.data_centre):
+        if self._reachability.is_suspected(source.entry.data_centre):
             return None
-        return found
+        return source
--- a/packages/node/src/eelgrass_node/process/server_use.py
+++ b/packages/node/src/eelgrass_node/process/server_use.py
@@ -13,13 +13,13 @@
 
 
 class ServerUse:
-    """The use of one server by one queue, since ``known_since``.
+    """The use of one server by one queue, since ``used_since``.
 
     Times are in seconds.
     """
 
-    def __init__(self, known_since: float) -> None:
-        self.known_since = known_since
+    def __init__(self, used_since: float) -> None:
+        self.used_since = used_since
         self.calls = 0
         self.free_at = 0.0
         self._slowness = MovingAverage(1.0, SLOWNESS_WEIGHT)
--- a/packages/node/src/eelgrass_node/process/warm_up/rate_limit.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/rate_limit.py
@@ -59,8 +59,10 @@
 
     def _configured_per_s(self, service: str) -> float:
         deployment = self._deployment()
-        known = deployment and deployment.service_by_name.get(ServiceName(service))
-        return known.warm_up_per_s if known else 0.0
+        service_config = deployment and deployment.service_by_name.get(
+            ServiceName(service)
+        )
+        return service_config.warm_up_per_s if service_config else 0.0
 
 
 class RateLimiter:
--- a/packages/node/tests/test_account_shares.py
+++ b/packages/node/tests/test_account_shares.py
@@ -106,10 +106,10 @@
     """
 
     def test_the_other_accounts_are_served_as_without_the_flood(self):
-        alone = run_load(USUAL).share(QUIET)
-        beside = run_load(USUAL | FLOOD).share(QUIET)
-        assert alone == 1.0
-        assert beside >= alone - 0.02
+        without_flood = run_load(USUAL).share(QUIET)
+        with_flood = run_load(USUAL | FLOOD).share(QUIET)
+        assert without_flood == 1.0
+        assert with_flood >= without_flood - 0.02
 
     def test_the_flood_gets_the_capacity_that_is_left(self):
         load = run_load(USUAL | FLOOD)
--- a/packages/node/tests/test_batch_handoff.py
+++ b/packages/node/tests/test_batch_handoff.py
@@ -102,7 +102,7 @@
             async with asyncio.timeout(1):
                 await withdrawn.wait()
 
-    # Guards against results of a caller that is gone, which would take up memory until
+    # Guards against results of a caller that has left, which would take up memory until
     # they expire.
     async def test_results_that_cannot_be_delivered_are_freed(self, monkeypatch):
         write = web.StreamResponse.write
--- a/packages/node/tests/test_crash_detector.py
+++ b/packages/node/tests/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""Tests that crashes are told from connections lost for other reasons."""
+"""Crashes are distinguished from connections lost for other reasons."""
 
 import asyncio
 
--- a/packages/node/tests/test_deployments.py
+++ b/packages/node/tests/test_deployments.py
@@ -46,7 +46,7 @@
     def test_an_announced_number_that_never_arrives_expires(self):
         """Only a newer release may be able to read the announced configuration.
 
-        Other nodes announce its number again and again. After the timeout, requests for
+        Other nodes announce its number repeatedly. After the timeout, requests for
         unknown routes are refused by the configuration in force.
         """
 
--- a/packages/node/tests/test_log_pipe.py
+++ b/packages/node/tests/test_log_pipe.py
@@ -63,8 +63,8 @@
         await asyncio.sleep(1.0)
         log.write({"message": "other"})
         lines = parsed(read(reader))
-        told = [entry["left_out"] for entry in lines if "left_out" in entry]
-        assert told == [{"many": 50}]
+        left_out = [entry["left_out"] for entry in lines if "left_out" in entry]
+        assert left_out == [{"many": 50}]
 
     async def test_the_line_of_a_failed_request_is_never_left_out(self, pipe):
         reader, writer = pipe
--- a/packages/node/tests/test_result_release.py
+++ b/packages/node/tests/test_result_release.py
@@ -1,4 +1,4 @@
-"""Freeing results through queue owners that are healthy, stalled, leaving or gone."""
+"""Freeing results through queue owners that are healthy, stalled, leaving or dead."""
 
 import asyncio
 
@@ -68,9 +68,9 @@
         owner = run_in_simulated_time(Owner(0.01).play())
         assert owner.freed_by_owner == [["h"]] and not owner.freed_locally
 
-    # Guards against a stalled owner that is never told of freed results: its queue then
-    # counted its servers as full for seconds.
-    def test_a_stalled_owner_is_told_when_it_recovers(self):
+    # Guards against a stalled owner that is never notified of freed results: its queue
+    # then counted its servers as full for seconds.
+    def test_a_stalled_owner_is_notified_when_it_recovers(self):
         owner = run_in_simulated_time(Owner(0.6).play())
         assert owner.freed_by_owner == [["h"]]
         [(handles, at)] = owner.freed_locally
@@ -78,8 +78,8 @@
         assert not owner.silent
 
     # Guards against items that wait at a stopping node and become late while servers
-    # are idle, because the node is not told of freed results.
-    def test_an_owner_that_leaves_is_still_told(self):
+    # are idle, because the node is not notified of freed results.
+    def test_an_owner_that_leaves_is_still_notified(self):
         owner = run_in_simulated_time(Owner(0.01, state=MemberState.LEFT).play())
         assert owner.freed_by_owner == [["h"]]
 
--- a/packages/node/tests/test_retry_budgets.py
+++ b/packages/node/tests/test_retry_budgets.py
@@ -73,7 +73,7 @@
         fleet.run(2 * WINDOW_S, failing=False)
         return fleet
 
-    # Guards against a new process that spends the budget of its predecessor again.
+    # Guards against a new process that spends the budget of its predecessor once more.
     @pytest.mark.parametrize("requests_per_s", [4.0, 40.0, 400.0])
     def test_hosts_restarted_at_once_while_servers_fail(self, requests_per_s):
         fleet = self.fleet(requests_per_s=requests_per_s)
@@ -85,7 +85,8 @@
         fleet.run(2 * WINDOW_S, failing=True)
         assert fleet.excess() <= 0
 
-    # Guards against a budget that is spent again where the requests go next.
+    # Guards against a budget that is spent a second time by the nodes that take over
+    # the requests.
     @pytest.mark.parametrize("requests_per_s", [4.0, 40.0, 400.0])
     def test_requests_that_move_from_host_to_host(self, requests_per_s):
         fleet = self.fleet(requests_per_s=requests_per_s)
--- a/packages/node/tests/test_server_lives.py
+++ b/packages/node/tests/test_server_lives.py
@@ -25,16 +25,16 @@
 
 
 class RestartingServer:
-    """Makes results whose handles repeat in each incarnation of one server."""
+    """Produces results whose handles repeat in each incarnation of one server."""
 
     def __init__(self):
         self.current = FIRST
-        self.made = []
+        self.calls = []
         self.freed = []
 
     async def run(self, service, given):
         incarnation = self.current
-        self.made.append((service, given[0].stage, incarnation, given[0].inputs))
+        self.calls.append((service, given[0].stage, incarnation, given[0].inputs))
         return [
             ItemOutcome(handle=f"s1/{p.number}", producer=incarnation) for p in given
         ]
@@ -67,14 +67,14 @@
 
         async def restart_after_first_stage(service, given):
             outcomes = await first_run(service, given)
-            if len(restarting.made) == 1:
+            if len(restarting.calls) == 1:
                 restarting.current = SECOND
             return outcomes
 
         graph._run_items = restart_after_first_stage
         assert await graph.run() == ("s1/0",)
         assert [
-            (service, incarnation) for service, _, incarnation, _ in restarting.made
+            (service, incarnation) for service, _, incarnation, _ in restarting.calls
         ] == [
             ("a", FIRST),
             ("a", SECOND),
