--- a/packages/node/src/eelgrass_node/process/account_shares.py
+++ b/packages/node/src/eelgrass_node/process/account_shares.py
@@ -167,12 +167,12 @@
     """
     if len(demand) < 2 or sum(demand) <= capacity * SHORTAGE_RATIO:
         return math.inf
-    left = capacity
+    remaining = capacity
     for served, wanted in enumerate(sorted(demand)):
-        level = left / (len(demand) - served)
+        level = remaining / (len(demand) - served)
         if wanted > level:
             return level
-        left -= wanted
+        remaining -= wanted
     return math.inf
 
 
--- a/packages/node/src/eelgrass_node/process/batch_queue.py
+++ b/packages/node/src/eelgrass_node/process/batch_queue.py
@@ -43,9 +43,9 @@
 # The shortest retry delay for refused callers. Replies add a random part in proportion
 # to the delay, so that callers do not retry all at once.
 MIN_RETRY_AFTER_S = 0.2
-# Late items are refused if those that wait amount to this many seconds of work of all
-# servers. After a burst such a backlog is served within about three times as long, and
-# callers still wait that long.
+# Late items are refused if the late items that wait already amount to this many seconds
+# of work of all servers. After a burst such a backlog is served within about three
+# times as long, and callers still wait that long.
 LATE_BACKLOG_S = 1.0
 # The longest wait reported to other nodes. It is longer than any caller waits, and
 # finite because a queue without servers has an infinite wait, which JSON cannot encode.
@@ -232,7 +232,7 @@
         return ItemOutcome(failure=ItemFailure.OVERLOADED, retry_after_s=after_s)
 
     def _ahead_of(self, first: BatchItem, now: float) -> int:
-        """Return how many items run before a new one; late ones run after it."""
+        """Return how many waiting items run before ``first``; late ones run later."""
         own = rank(first)
         return sum(
             len(items)
@@ -253,7 +253,7 @@
                 self._log_late(items, now)
                 self._settle_all(items, outcome)
             elif self._servers.inputs_unavailable(items[0]):
-                # The request then runs the earlier stages again to replace the inputs.
+                # The request then reruns the earlier stages to replace the inputs.
                 self._settle_all(items, ItemOutcome(failure=ItemFailure.INPUT_GONE))
 
     def _log_late(self, items: Sequence[BatchItem], now: float) -> None:
