--- a/packages/node/src/eelgrass_node/platform/settings.py
+++ b/packages/node/src/eelgrass_node/platform/settings.py
@@ -78,10 +78,10 @@
         raw = yaml.load(file.read_bytes(), Loader=_yaml_loader())
         wire = msgspec.convert(raw, _Settings)
     except OSError as error:
-        remedy = "Set the path to a readable file."
+        remedy = "Give the path of a readable file."
         raise SettingsError(name, "file", str(error), remedy) from error
     except (yaml.YAMLError, msgspec.ValidationError) as error:
-        remedy = "Correct the value named in the error."
+        remedy = "Correct the value that is named."
         raise SettingsError(name, "settings", str(error), remedy) from error
     bounds = wire.bounds
     return HostSettings(
