--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -173,7 +173,7 @@
             stage_calls.producer_of,
             self.metrics.record_wait,
             self.poison_requests,
-            self.warm_up.admission.is_bounded,
+            self.warm_up.admission.is_rate_limited,
         )
         self.backends.on_change = self.local_queues.servers_changed
         self.membership.on_gossip_item = self._on_gossip_item
@@ -329,7 +329,7 @@
             free_results=self.shared_queues.results.free,
             final_call_latency=self.final_call_latency,
             retries=self.retry_budgets,
-            reach=self.reachability,
+            reachability=self.reachability,
             on_server_replaced=self._on_server_replaced,
             on_server_failing=self.failure_gossip.announce_failure,
             poison=self.poison_requests,
--- a/packages/node/src/eelgrass_node/process/batch_queue.py
+++ b/packages/node/src/eelgrass_node/process/batch_queue.py
@@ -43,9 +43,9 @@
 # The shortest retry delay for refused callers. Replies add a random part in proportion
 # to the delay, so that callers do not retry all at once.
 MIN_RETRY_AFTER_S = 0.2
-# Late items are refused if those that wait amount to this many seconds of work of all
-# servers. After a burst such a backlog is served within about three times as long, and
-# callers still wait that long.
+# Late items are refused if the late items that wait already amount to this many seconds
+# of work of all servers. After a burst such a backlog is served within about three
+# times as long, and callers still wait that long.
 LATE_BACKLOG_S = 1.0
 # The longest wait reported to other nodes. It is longer than any caller waits, and
 # finite because a queue without servers has an infinite wait, which JSON cannot encode.
@@ -69,7 +69,7 @@
         service: str,
         limits: Callable[[], BatchLimits],
         servers: Callable[[], list[Backend]],
-        reach: DataCentreReachability,
+        reachability: DataCentreReachability,
         data_centre_of: Callable[[str], str],
         has_ended: Callable[[ServerIncarnation], bool],
         run_call: RunCall,
@@ -80,7 +80,7 @@
         self.service = service
         self._limits = limits
         self._servers = QueueServers(
-            service, limits, servers, reach, data_centre_of, has_ended
+            service, limits, servers, reachability, data_centre_of, has_ended
         )
         self._order = ItemOrder(limits, self._servers)
         self._run_call = run_call
@@ -102,7 +102,7 @@
         """Run an item set and return the outcomes, in order.
 
         If the caller is cancelled, waiting items are withdrawn, calls that have started
-        go on, and all results are freed.
+        continue, and all results are freed.
         """
         now = _now()
         self._shares.record_demand(items, self._order.work_s(len(items)), now)
@@ -232,7 +232,7 @@
         return ItemOutcome(failure=ItemFailure.OVERLOADED, retry_after_s=after_s)
 
     def _ahead_of(self, first: BatchItem, now: float) -> int:
-        """Return how many items run before a new one; late ones run after it."""
+        """Return how many waiting items run before ``first``; late ones run later."""
         own = rank(first)
         return sum(
             len(items)
@@ -253,7 +253,7 @@
                 self._log_late(items, now)
                 self._settle_all(items, outcome)
             elif self._servers.inputs_unavailable(items[0]):
-                # The request then runs the earlier stages again to replace the inputs.
+                # The request then reruns the earlier stages to replace the inputs.
                 self._settle_all(items, ItemOutcome(failure=ItemFailure.INPUT_GONE))
 
     def _log_late(self, items: Sequence[BatchItem], now: float) -> None:
@@ -332,7 +332,7 @@
         finally:
             use.calls -= 1
         now = _now()
-        # Stalls of this process are left out: the server was not slow meanwhile.
+        # Stalls of this process do not count, because the server is not slow then.
         took_s = running_time() - began
         self._servers.record_call(server, batch, outcomes, took_s)
         finished = sum(outcome.handle is not None for outcome in outcomes)
@@ -348,7 +348,7 @@
         self.start_calls()
 
     def _free_finished(self, futures: Sequence[asyncio.Future[ItemOutcome]]) -> None:
-        """Free the finished results of a set whose caller is gone."""
+        """Free the finished results of a set whose caller has been cancelled."""
         finished = [f.result() for f in futures if f.done() and not f.cancelled()]
         handles = [outcome.handle for outcome in finished if outcome.handle is not None]
         if handles:
@@ -359,7 +359,7 @@
         futures: dict[BatchItem, asyncio.Future[ItemOutcome]],
         outcomes: list[ItemOutcome],
     ) -> None:
-        """Free results whose caller is gone; they would take up server memory."""
+        """Free results whose caller was cancelled; they would take up server memory."""
         abandoned = [
             outcome.handle
             for future, outcome in zip(futures.values(), outcomes, strict=True)
--- a/packages/node/src/eelgrass_node/process/evacuation/manager.py
+++ b/packages/node/src/eelgrass_node/process/evacuation/manager.py
@@ -45,12 +45,14 @@
         return sum(server.in_flight for server in servers)
 
     def _on_evacuation_end(self, data_centre: DataCentre) -> None:
-        """Use a data centre again; its servers may have become cold since."""
+        """Put a data centre back into use; its servers may have become cold."""
         for server in self._backends.in_data_centre(data_centre):
             server.mark_cold(self._warm_up_s(server.entry.service))
         self._backends.notify_all()
 
     def _warm_up_s(self, service: str) -> float:
         deployment = self._deployment()
-        known = deployment and deployment.service_by_name.get(ServiceName(service))
-        return known.warm_up_s if known else MAX_WARM_UP_S
+        service_config = deployment and deployment.service_by_name.get(
+            ServiceName(service)
+        )
+        return service_config.warm_up_s if service_config else MAX_WARM_UP_S
--- a/packages/node/src/eelgrass_node/process/local_queues.py
+++ b/packages/node/src/eelgrass_node/process/local_queues.py
@@ -33,8 +33,8 @@
 
     ``producer_of`` returns the address of the server that holds a result, and
     ``record_wait`` records how many seconds the items of a service waited. ``poison``
-    keeps poison requests from being sent to servers, and ``is_bounded`` tells which
-    servers are cold; they get no items until they are warm.
+    keeps poison requests from being sent to servers. Servers for which
+    ``is_rate_limited`` is true are cold; they get no items until they are warm.
     """
 
     def __init__(
@@ -42,24 +42,24 @@
         backends: Backends,
         deployment: Callable[[], Deployment | None],
         retries: RetryBudgets,
-        reach: DataCentreReachability,
+        reachability: DataCentreReachability,
         run_call: RunCall,
         free_call: FreeCall,
         producer_of: Callable[[str], str],
         record_wait: Callable[[str, float], None],
         poison: PoisonRequests,
-        is_bounded: Callable[[Backend], bool],
+        is_rate_limited: Callable[[Backend], bool],
     ) -> None:
         self._backends = backends
         self._deployment = deployment
         self._retries = retries
-        self._reach = reach
+        self._reachability = reachability
         self._run_call = run_call
         self._free_call = free_call
         self._producer_of = producer_of
         self._record_wait = record_wait
         self._poison = poison
-        self._is_bounded = is_bounded
+        self._is_rate_limited = is_rate_limited
         self._tasks: set[asyncio.Task] = set()
         self.by_service: dict[ServiceName, BatchQueue] = {}
 
@@ -115,7 +115,7 @@
                 service,
                 lambda: self._limits(service),
                 lambda: self._usable(service),
-                self._reach,
+                self._reachability,
                 self.data_centre_of,
                 self._backends.has_ended,
                 self._call,
@@ -138,7 +138,7 @@
         return [
             server
             for server in self._backends.usable(service)
-            if server.is_in(regions) and not self._is_bounded(server)
+            if server.is_in(regions) and not self._is_rate_limited(server)
         ]
 
     async def _call(
--- a/packages/node/src/eelgrass_node/process/warm_up/rate_limit.py
+++ b/packages/node/src/eelgrass_node/process/warm_up/rate_limit.py
@@ -49,7 +49,7 @@
         self._bounds = bounds
         self._deployment = deployment
 
-    def is_bounded(self, service: str) -> bool:
+    def is_rate_limited(self, service: str) -> bool:
         """Return whether the configuration limits the rate of a cold server."""
         return self._configured_per_s(service) > 0
 
@@ -59,8 +59,10 @@
 
     def _configured_per_s(self, service: str) -> float:
         deployment = self._deployment()
-        known = deployment and deployment.service_by_name.get(ServiceName(service))
-        return known.warm_up_per_s if known else 0.0
+        service_config = deployment and deployment.service_by_name.get(
+            ServiceName(service)
+        )
+        return service_config.warm_up_per_s if service_config else 0.0
 
 
 class RateLimiter:
