--- a/packages/ctl/tests/test_explain.py
+++ b/packages/ctl/tests/test_explain.py
@@ -14,8 +14,8 @@
 
 LINES = [
     line(3.5, "host-1", "requests: Refused.", id="r1", reason="stages: late"),
-    line(1.0, "host-2", "pieces: A call starts.", requests=["r1", "r2"], pieces=4),
-    line(2.0, "host-2", "pieces: A call starts.", requests=["r2"], pieces=1),
+    line(1.0, "host-2", "pieces: Batch call started.", requests=["r1", "r2"], pieces=4),
+    line(2.0, "host-2", "pieces: Batch call started.", requests=["r2"], pieces=1),
     "not a log line\n",
     "{broken json\n",
     line(0.5, "host-1", "node: Started.", node="n"),
--- a/tests/features/operators.feature
+++ b/tests/features/operators.feature
@@ -22,7 +22,7 @@
   Scenario: A parameter set must match its template
     When an operator sets value "length" of "ministry/revision-check" to "long"
     Then the command ends with code 1
-    And it says "parameters/ministry/revision-check.values.length: it is no integer"
+    And it says "parameters/ministry/revision-check.values.length: it is not of type integer"
 
   Scenario: A template in use cannot be deleted
     When an operator deletes template "transmittal"
