--- a/packages/node/src/eelgrass_node/exceptions.py
+++ b/packages/node/src/eelgrass_node/exceptions.py
@@ -208,6 +208,6 @@
 
     def __init__(self, request: str, retry_after_s: float) -> None:
         super().__init__(
-            f"servers have ended under this request ({request}); change it",
+            f"servers crashed while running this request ({request}); change it",
             retry_after_s,
         )
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -148,7 +148,7 @@
             if status == 200:
                 assert body == COMPLETE_STREAM
                 return quarantined
-            quarantined |= b"servers have ended" in body
+            quarantined |= b"servers crashed" in body
             await asyncio.sleep(min(0.5, float(headers.get("Retry-After", 0.1))))
         raise AssertionError(f"request {number} not served after 20 attempts")
 
