--- a/packages/node/src/eelgrass_node/entry_node.py
+++ b/packages/node/src/eelgrass_node/entry_node.py
@@ -332,7 +332,7 @@
             reachability=self.reachability,
             on_server_replaced=self._on_server_replaced,
             on_server_failing=self.failure_gossip.announce_failure,
-            poison=self.poison_requests,
+            poison_requests=self.poison_requests,
             count=self.counters.count,
             metrics=self.metrics,
         )
--- a/packages/node/src/eelgrass_node/request/request_execution.py
+++ b/packages/node/src/eelgrass_node/request/request_execution.py
@@ -160,7 +160,9 @@
                 self._calling = False
                 self._record_failure(backend, failed)
                 self._check_retry(failed)
-                await self._context.poison.crash_detector.wait_for_check(backend)
+                await self._context.poison_requests.crash_detector.wait_for_check(
+                    backend
+                )
                 if failed.reason is RetryReason.INPUT_GONE:
                     self._graph.release()
             finally:
@@ -190,7 +192,7 @@
 
     def _check_quarantine(self) -> None:
         """Raise :class:`RequestQuarantined` if the request is in quarantine."""
-        quarantine = self._context.poison.quarantine
+        quarantine = self._context.poison_requests.quarantine
         if quarantine and quarantine.is_quarantined(self._fingerprint):
             raise RequestQuarantined(
                 self._fingerprint, quarantine.remaining_s(self._fingerprint)
@@ -203,7 +205,7 @@
         routed = self._routed
         prefix_key = routed.incoming.prompt.prefix_key()
         shared_tokens = routed.incoming.prompt.shared_tokens()
-        quarantine = self._context.poison.quarantine
+        quarantine = self._context.poison_requests.quarantine
         if quarantine and quarantine.is_suspect(self._fingerprint):
             # Placed by its own key and not by its prefix, to keep it apart from the
             # other requests that ran on the crashed server: the next crash then shows
@@ -326,7 +328,7 @@
             events=self._events.events,
         )
         if failed.reason in POSSIBLE_CRASH_REASONS:
-            self._context.poison.crash_detector.on_connection_lost(
+            self._context.poison_requests.crash_detector.on_connection_lost(
                 backend, self._fingerprint
             )
 
@@ -396,8 +398,8 @@
         return self._answer.refusal(HTTP_UNAVAILABLE, refused.reason, retry_after_s)
 
     def _log_answered(self, backend: Backend, head: ResponseHead) -> None:
-        if self._context.poison.quarantine and head.status < HTTP_SERVER_ERROR:
-            self._context.poison.record_success(self._fingerprint)
+        if self._context.poison_requests.quarantine and head.status < HTTP_SERVER_ERROR:
+            self._context.poison_requests.record_success(self._fingerprint)
         arrived_at = self._routed.incoming.arrived_at
         self._log_end(
             "Answered.",
--- a/packages/node/src/eelgrass_node/request/serving_context.py
+++ b/packages/node/src/eelgrass_node/request/serving_context.py
@@ -44,6 +44,6 @@
     reachability: DataCentreReachability
     on_server_replaced: Callable[[Backend], None]
     on_server_failing: Callable[[Backend], None]
-    poison: PoisonRequests
+    poison_requests: PoisonRequests
     count: Callable[[str], None]
     metrics: Metrics
--- a/packages/node/tests/test_batch_queue.py
+++ b/packages/node/tests/test_batch_queue.py
@@ -154,7 +154,7 @@
     async def test_inputs_in_an_unreachable_data_centre_are_lost_at_once(self):
         service = Service(server("s1"))
         for name in ("x", "y"):
-            service.reach.record_timeout("b", name)
+            service.reachability.record_timeout("b", name)
         [outcome] = await service.queue.run(items("r", inputs=("h@b",)))
         assert outcome.failure is ItemFailure.INPUT_GONE
         assert service.calls == []
--- a/tests/support/batching.py
+++ b/tests/support/batching.py
@@ -73,12 +73,12 @@
         self.freed = []
         self.ended = set()
         self._behave = behave
-        self.reach = DataCentreReachability(DataCentre("a"), now)
+        self.reachability = DataCentreReachability(DataCentre("a"), now)
         self.queue = BatchQueue(
             "portal",
             lambda: limits,
             lambda: self.servers,
-            self.reach,
+            self.reachability,
             lambda handle: handle.partition("@")[2],
             self.ended.__contains__,
             self._run,
