--- a/packages/standins/src/eelgrass_standins/backend.py
+++ b/packages/standins/src/eelgrass_standins/backend.py
@@ -135,7 +135,11 @@
 
 
 def perform(call: RunCall) -> Any:
-    """Return a result that depends on the operation and, for most, on its input."""
+    """Return the result of an operation.
+
+    "retrieve" and "rerank" return a constant, and "encode" the length of the input
+    modulo 97. The result of any other operation contains the input.
+    """
     if call.operation == "encode":
         return {"vector": [len(str(call.input)) % 97, 1.0]}
     if call.operation == "retrieve":
