--- a/packages/coordination/src/eelgrass_coordination/members.py
+++ b/packages/coordination/src/eelgrass_coordination/members.py
@@ -72,7 +72,7 @@
         return True
 
     def forget(self, node: NodeId) -> None:
-        """Drop the record of a member that has been gone for a long time."""
+        """Drop the record of a member that died or left a long time ago."""
         if self.by_id.pop(node, None) is not None:
             self.changes += 1
 
--- a/packages/coordination/src/eelgrass_coordination/suspicion.py
+++ b/packages/coordination/src/eelgrass_coordination/suspicion.py
@@ -6,7 +6,7 @@
 __all__ = ["Suspicions"]
 
 # Time that a suspected member has to refute the suspicion. An update reaches all
-# members, and the refutation comes back, within two or three periods.
+# members, and the refutation reaches them too, within two or three periods.
 SUSPICION_PERIODS = 4
 # Time for which a dead member is remembered, some two hours at one period a second, so
 # that a delayed message does not bring it back.
--- a/packages/node/src/eelgrass_node/connection/table_feed.py
+++ b/packages/node/src/eelgrass_node/connection/table_feed.py
@@ -137,7 +137,10 @@
         self._decoder = msgspec.json.Decoder(_FeedRequest)
 
     async def handle_feed(self, request: web.Request) -> web.Response:
-        """Answer ``POST /peer/v1/table-feed``; the reply tells if this is no relay."""
+        """Answer ``POST /peer/v1/table-feed``.
+
+        The reply states if the history was dropped or this node cannot serve the table.
+        """
         feed = self._decoder.decode(await request.read())
         try:
             changes = await self._relay.changes(
--- a/packages/node/src/eelgrass_node/process/account_shares.py
+++ b/packages/node/src/eelgrass_node/process/account_shares.py
@@ -3,9 +3,10 @@
 If one account sends many times its normal load, all accounts that share a service with
 it would wait behind its requests or be refused with them. If the accounts together ask
 for more work than the servers can do, the capacity is divided max-min fairly, by work
-and not by the number of requests: each account gets what it asks for up to a level that
-is the same for all, and the rest goes to those that ask for more. Work above that level
-is served after all other work. While capacity is sufficient there are no shares.
+and not by the number of requests: each account gets the work that it requests up to a
+limit that is the same for all accounts. Accounts that request less leave capacity
+unused, which raises the limit for the others. Work above the limit is served after all
+other work. While capacity is sufficient there are no shares.
 
 No quotas are configured, so normal traffic gives an account no precedence: in a burst
 of all accounts, the surplus of the largest one waits first.
--- a/packages/node/src/eelgrass_node/process/backends.py
+++ b/packages/node/src/eelgrass_node/process/backends.py
@@ -224,8 +224,8 @@
 class Backends:
     """All backend servers by id and by service.
 
-    That a server (the pair of id and start number) is leaving is remembered for as
-    long as an outdated list may still name it as live.
+    A leaving server (the pair of id and start number) is remembered while an outdated
+    list may still name it as live.
     """
 
     def __init__(self, on_change: Callable[[str], None] = lambda service: None):
--- a/packages/node/src/eelgrass_node/process/batch_selection.py
+++ b/packages/node/src/eelgrass_node/process/batch_selection.py
@@ -17,7 +17,7 @@
 __all__ = ["RESERVE_AFTER_S", "select_batch"]
 
 # An item set that has not fitted into memory for this long, about two calls, reserves
-# memory: later sets of large results must not use what is freed.
+# memory: later sets of large results must not use the memory that is freed.
 RESERVE_AFTER_S = 0.5
 # A set may be split across calls if this fraction of the server's memory stays free, so
 # that calls run full: with ten items a call, sets of six would leave four unused.
--- a/packages/node/src/eelgrass_node/process/budget_shares.py
+++ b/packages/node/src/eelgrass_node/process/budget_shares.py
@@ -1,8 +1,8 @@
 """Counts the nodes that share a budget of the whole deployment.
 
 When nodes leave in turn, or data centres are cut off from each other, the nodes that
-remain reachable must not take over the shares of the others: retries that those have
-made still count in the current window, and they may still be making more.
+remain reachable must not take over the shares of the others: retries that the other
+nodes have made still count in the current window, and they may still be making more.
 """
 
 import math
--- a/packages/node/src/eelgrass_node/process/configuration.py
+++ b/packages/node/src/eelgrass_node/process/configuration.py
@@ -178,7 +178,7 @@
         return reply.revision
 
     def changes_for_peer(self, after: Revision) -> PeerChanges:
-        """Return what a peer at revision ``after`` needs."""
+        """Return the changes after a revision, or a snapshot if they are not kept."""
         changes = self.follower.changes_after(after)
         if changes is not None:
             return PeerChanges(changes=tuple(changes))
--- a/packages/node/src/eelgrass_node/process/deployments.py
+++ b/packages/node/src/eelgrass_node/process/deployments.py
@@ -51,7 +51,7 @@
     def superseded(self) -> bool:
         """Whether another node has announced a newer configuration that is awaited.
 
-        It may define what the configuration in force does not, such as a new route.
+        It may define objects that the configuration in force lacks, such as a route.
         """
         return self._announced_number > self.number and not self._has_expired()
 
--- a/packages/node/src/eelgrass_node/process/platform_tables.py
+++ b/packages/node/src/eelgrass_node/process/platform_tables.py
@@ -20,8 +20,9 @@
 CONFIGURATION_WAIT_S = 1.0
 # Each server writes about every 1.2 s. A delay between two feed calls lets changes
 # accumulate and keeps the number of calls low. Delay, wait and the client's slack
-# (0.6 s) add up to 1.5 s, after which a relay that has lost the store tells its
-# followers. That leaves them half a second of the 2 s for a server that leaves.
+# (0.6 s) add up to 1.5 s, after which a relay that cannot reach the store reports this
+# to its followers. A leaving server must get no new work after 2 s, so the followers
+# have half a second left to read its row from another source.
 SERVERS_WAIT_S = 0.5
 SERVERS_FEED_DELAY_S = 0.4
 
--- a/packages/node/src/eelgrass_node/process/queue_servers.py
+++ b/packages/node/src/eelgrass_node/process/queue_servers.py
@@ -30,8 +30,8 @@
 # A server that refused for lack of memory counts as full for this long, about a call.
 UNKNOWN_RESULTS_S = 0.25
 UNKNOWN_RESULTS = "unknown"
-# How many times as many servers may be remembered as are listed; then those that are
-# no longer listed are dropped.
+# If there are records of more than this many times the listed servers, the records of
+# servers that are no longer listed are dropped.
 MAX_REMEMBERED_FACTOR = 4
 
 SERVER_FAILURES = frozenset(
--- a/packages/node/src/eelgrass_node/process/reachability.py
+++ b/packages/node/src/eelgrass_node/process/reachability.py
@@ -1,10 +1,10 @@
 """Detects unreachable data centres from calls that timed out.
 
-When a data centre is cut off, every server and node in it stops answering at once, and
-each call that finds that out for itself waits for its full timeout (0.15 to 0.4 s) and
-uses up an attempt. If two different servers or nodes time out within a short time, the
-whole data centre is suspected: others are then preferred until something there answers
-or the suspicion expires.
+When a data centre is cut off, all servers and nodes in it stop answering at once. Each
+call to one of them waits for its full timeout (0.15 to 0.4 s) and uses up an attempt.
+If two different servers or nodes time out within a short time, the whole data centre is
+suspected: others are then preferred until a server or node in it answers or the
+suspicion expires.
 """
 
 from collections.abc import Callable, Sequence
--- a/packages/node/src/eelgrass_node/process/reachability_checks.py
+++ b/packages/node/src/eelgrass_node/process/reachability_checks.py
@@ -29,7 +29,7 @@
 MAX_PROBED = 3
 MIN_PROBED = 2
 # Partitions last some 5 s. After this long calls may try again: the nodes of the data
-# centre may be gone for good while its servers are healthy.
+# centre may have been removed for good while its servers are healthy.
 MAX_SUSPICION_S = 8.0
 
 
--- a/packages/node/src/eelgrass_node/process/server_choice.py
+++ b/packages/node/src/eelgrass_node/process/server_choice.py
@@ -16,7 +16,7 @@
 
 
 class ServerCriteria(msgspec.Struct, frozen=True):
-    """What a request requires of the server of ``service`` that it is sent to.
+    """The requirements of a request for the server of ``service`` that will run it.
 
     ``prefix_key`` identifies the longest prefix of a prompt that others share, and
     ``shared_tokens`` is its length. Servers in ``tried`` are avoided if possible.
--- a/packages/node/src/eelgrass_node/process/store_backoff.py
+++ b/packages/node/src/eelgrass_node/process/store_backoff.py
@@ -3,9 +3,9 @@
 The store may reject nodes, stop answering or drop its history while changes are being
 made. A node detects the store's recovery only by calling it. In the worst case a call
 that is in flight at the recovery gets no answer, and the backoff before the next call
-follows it. The longest backoff is therefore derived: it is what the longest call leaves
-of the time within which a change must be in force. A shorter deadline causes more calls
-during an outage.
+follows it. The longest backoff is therefore the time within which a change must be in
+force, minus a reserve for processing it and the timeout of the longest call. A shorter
+deadline causes more calls during an outage.
 """
 
 import random
--- a/packages/node/src/eelgrass_node/process/store_tables.py
+++ b/packages/node/src/eelgrass_node/process/store_tables.py
@@ -118,8 +118,8 @@
                     "The store has dropped its history; reading the whole table.",
                     table=self._table,
                 )
-                # The first time a full read follows at once. If the history is gone
-                # again right after it, another immediate read would not help.
+                # The first time a full read follows at once. If the store has dropped
+                # its history again right after it, another one would not help.
                 if was_gone:
                     await asyncio.sleep(self._history_backoff.next_delay_s())
                 was_gone = True
--- a/packages/node/src/eelgrass_node/process/table_relay.py
+++ b/packages/node/src/eelgrass_node/process/table_relay.py
@@ -197,8 +197,8 @@
     def _wait_s(self, relay: Member, table: str) -> float:
         """Return how long a relay may wait for changes.
 
-        A relay that was not the last source must answer at once with what it has. It
-        may be unresponsive too, and the failure of the last source has taken time.
+        A relay that was not the last source must answer at once with the rows that it
+        has. It may be unresponsive too, and the failure of the last source took time.
         """
         is_source = self._source_by_table.get(table) == relay.id
         return RELAY_WAIT_S if is_source and self._is_eligible(relay) else 0.0
--- a/packages/node/src/eelgrass_node/request/engine_call.py
+++ b/packages/node/src/eelgrass_node/request/engine_call.py
@@ -120,7 +120,7 @@
         """Return the connection to the pool; close it if unread data is left."""
         if self._closed is not None and self._closed.done():
             # Retrieves the exception, so that asyncio does not report it as unhandled;
-            # check_complete() is what acts on it.
+            # check_complete() handles it.
             self._closed.exception()
         if self._response is not None:
             self._response.close()
